--- a/examples/library/permits.ts
+++ b/examples/library/permits.ts
@@ -30,7 +30,7 @@
 const worker = { id: 'worker-1', address: '127.0.0.1:9', zone: 'osu-hall' };
 const vm = { ...worker, kind: 'plain-service', service: 'catalogue', state: 'live', labels: {} };
 holder.setVms([vmSchema.parse(vm)]);
-holder.learnService({ id: 'worker-1', incarnation: 'a', leaving: false, maxConcurrency: 1 });
+holder.updateService({ id: 'worker-1', incarnation: 'a', leaving: false, maxConcurrency: 1 });
 
 function createWish(requestId: string, priority: number): PermitQuery {
   return {
--- a/src/backpressure/backpressure.ts
+++ b/src/backpressure/backpressure.ts
@@ -34,7 +34,7 @@
   /** Gateways that are known, this one included. */
   gateways(): number;
   /** Tells all partners. */
-  tellPartners(message: NoticesMessage): void;
+  broadcast(message: NoticesMessage): void;
   /** A server has come to be known to leave. */
   left(server: string): void;
   /** Sends to a peer; false where there is no way to it. */
@@ -50,7 +50,7 @@
    * @param signals what it asks for
    * @param isSound whether it is a good answer to a request: only that ends a limit which it doesn't name
    */
-  heard: (server: RegisteredServer, signals: ServerSignals, isSound: boolean) => void;
+  signalsReceived: (server: RegisteredServer, signals: ServerSignals, isSound: boolean) => void;
   /** Time until a server may be sent anything after it has asked this gateway to pause, in ms. */
   msUntilResumed: (server: string) => number;
   /** Servers that have asked this gateway to pause. */
@@ -70,7 +70,7 @@
   /** A number that is the same in all gateways that know the same. */
   digest: () => number;
   /** A peer has said its number. */
-  heardDigest: (node: string, digest: number) => void;
+  digestReceived: (node: string, digest: number) => void;
   peerLost(node: string): void;
   /** A server is gone. */
   forget(id: string): void;
@@ -144,7 +144,7 @@
   }
 
   function tell(rows: readonly NoticeRow[]): void {
-    if (rows.length > 0) parts.tellPartners({ kind: 'notices', rows: [...rows] });
+    if (rows.length > 0) parts.broadcast({ kind: 'notices', rows: [...rows] });
   }
 
   /** The allocating gateway needs it first, and may be no partner. */
@@ -159,7 +159,7 @@
     paused: pauses.list,
     msUntilOpen: (server) => Math.max(pauses.msLeft(server), allowances.msUntilOpen(server)),
     allow: allowances.ask,
-    heard(server, signals, isSound) {
+    signalsReceived(server, signals, isSound) {
       noteUnreadable(server, signals);
       const { id } = server;
       notePause(id, signals);
@@ -183,7 +183,7 @@
       tell(news);
     },
     digest: notices.digest,
-    heardDigest(from, digest) {
+    digestReceived(from, digest) {
       const now = clock.now();
       if (digest === notices.digest()) return;
       if (now - (comparedAt.get(from) ?? Number.NEGATIVE_INFINITY) < COMPARE_MS) return;
--- a/src/caller/commands/call-service.ts
+++ b/src/caller/commands/call-service.ts
@@ -7,7 +7,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { ClaimAnswer } from '../../claims/index.js';
 import { resolveRoute } from '../../configuration/index.js';
-import { createDoubt, createRefusal, type Failure } from '../../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../errors/index.js';
 import type { ServiceAnswer, ServiceCall } from '../../ports/index.js';
 import type { ServiceJob } from '../../router/index.js';
 import type { Timer } from '../../task/index.js';
@@ -183,7 +183,7 @@
 }
 
 function stillRunning(node: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'in-progress',
     message: 'a request with this key is running; ask again with the same key for its answer',
     step: 'claim.settle',
--- a/src/caller/commands/complete.ts
+++ b/src/caller/commands/complete.ts
@@ -8,7 +8,7 @@
 import type { StreamingApi } from 'hono/utils/stream';
 import { Err, Ok, type Result } from 'ts-results-es';
 import { resolveRoute, type EngineGroup, type Route } from '../../configuration/index.js';
-import { createDoubt, createRefusal, type Failure } from '../../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../errors/index.js';
 import {
   countTokens,
   prefixHashes,
@@ -237,7 +237,7 @@
 }
 
 function incomplete(peer: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'answer-incomplete',
     message: 'the answer ended early',
     step: 'answer.deliver',
--- a/src/caller/parts.ts
+++ b/src/caller/parts.ts
@@ -2,10 +2,10 @@
 import type { ClaimRequest, Claims } from '../claims/index.js';
 import type { ConfigurationReplica, Team } from '../configuration/index.js';
 import type { Log } from '../events/index.js';
-import type { Fate } from '../links/index.js';
+import type { RequestStatus } from '../links/index.js';
 import type { EntryPoints } from '../membership/index.js';
 import type { Metrics } from '../metrics/index.js';
-import type { CompletionRunner, Fates, ServiceCallRunner } from '../router/index.js';
+import type { CompletionRunner, RequestStatuses, ServiceCallRunner } from '../router/index.js';
 import type { Settings } from '../settings/index.js';
 import type { Clock } from '../task/index.js';
 
@@ -23,12 +23,12 @@
   completions: CompletionRunner;
   services: ServiceCallRunner;
   claims: Pick<Claims, 'claim' | 'settle' | 'look' | 'join'>;
-  fates: Fates;
+  requestStatuses: RequestStatuses;
   createRequestId(): string;
   readiness(): Readiness;
   entryPoints(zone: string | undefined): EntryPoints;
   /** Finds the fate of a request of another node; `undefined` when nobody knows it. */
-  findFate(requestId: string): Promise<Fate | undefined>;
+  findRequestStatus(requestId: string): Promise<RequestStatus | undefined>;
   /** Counts a request in or out of flight. */
   track(change: 1 | -1): void;
 }
--- a/src/caller/queries/request.ts
+++ b/src/caller/queries/request.ts
@@ -13,7 +13,8 @@
 export function createRequestHandler(parts: CallerParts): Handler<CallerEnvironment> {
   return async (context) => {
     const requestId = context.req.param('id') ?? '';
-    const fate = parts.fates.find(requestId) ?? (await parts.findFate(requestId));
+    const fate =
+      parts.requestStatuses.find(requestId) ?? (await parts.findRequestStatus(requestId));
     if (fate?.team === context.get('arrival').team.name) return context.json(fate);
     const failure = createRefusal({
       code: 'unknown-object',
--- a/src/caller/tracker.ts
+++ b/src/caller/tracker.ts
@@ -2,7 +2,7 @@
  * Follows one request to its end: counts it in flight, remembers its fate and counts its outcome,
  * once.
  */
-import { createDoubt, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, type Failure } from '../errors/index.js';
 import type { CallerParts } from './parts.js';
 
 /** Follows one request. */
@@ -15,7 +15,7 @@
 /**
  * Starts to follow a request.
  *
- * @param parts the node's fates and metrics
+ * @param parts the node's request statuses and metrics
  * @param requestId the request
  * @param team whose it is
  * @param className its class, for the metrics
@@ -26,9 +26,9 @@
   team: string,
   className: string,
 ): Tracker {
-  const { fates, metrics, log } = parts;
+  const { requestStatuses, metrics, log } = parts;
   let ended = false;
-  fates.begin(requestId, team);
+  requestStatuses.begin(requestId, team);
   parts.track(1);
 
   function end(outcome: 'answered' | Failure['outcome'], failure?: Failure): void {
@@ -36,7 +36,12 @@
     ended = true;
     parts.track(-1);
     metrics.requests.inc({ class: className, outcome });
-    fates.end({ requestId, team, state: outcome, ...(failure === undefined ? {} : { failure }) });
+    requestStatuses.end({
+      requestId,
+      team,
+      state: outcome,
+      ...(failure === undefined ? {} : { failure }),
+    });
     log.write('requestFinished', { requestId, team, class: className, outcome, failure });
   }
 
@@ -77,7 +82,7 @@
  * @param node this node
  */
 export function createInternalFailure(node: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'internal',
     message: 'the node failed; its log says more under event 1005',
     step: 'answer.deliver',
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -8,7 +8,7 @@
  */
 import { match } from 'ts-pattern';
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../errors/index.js';
 import type { Log } from '../events/index.js';
 import type { Metrics } from '../metrics/index.js';
 import type { ObjectStore, Row, ServiceAnswer, TableService } from '../ports/index.js';
@@ -341,7 +341,7 @@
 }
 
 function inProgress(peer: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'in-progress',
     message: 'a request with this key is running; ask again with the same key for its answer',
     step: 'claim.read-back',
@@ -351,7 +351,7 @@
 }
 
 function uncertain(peer: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'outcome-unknown',
     message: 'the request may have run; it is not run again. Check before using a new key',
     step: 'claim.read-back',
--- a/src/cli/configuration-file.ts
+++ b/src/cli/configuration-file.ts
@@ -4,7 +4,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 import * as z from 'zod';
 import { checkObject, storedObjectSchema, type StoredObject } from '../configuration/index.js';
-import { describeIssues, readJson, type Mistake } from '../settings/index.js';
+import { describeIssues, readJson, type ValidationIssue } from '../settings/index.js';
 
 const configurationFileSchema = z.strictObject({ objects: z.array(storedObjectSchema) });
 
@@ -14,16 +14,16 @@
  * @param file path of the file
  * @returns its objects, or every mistake with the path of the wrong field
  */
-export function loadConfigurationFile(file: string): Result<StoredObject[], Mistake[]> {
+export function loadConfigurationFile(file: string): Result<StoredObject[], ValidationIssue[]> {
   const document = readJson(file);
   if (document.isErr()) return Err([document.error]);
   const parsed = configurationFileSchema.safeParse(document.value);
   if (!parsed.success) return Err(describeIssues(file, parsed.error));
-  const mistakes: Mistake[] = [];
+  const issues: ValidationIssue[] = [];
   for (const object of parsed.data.objects) {
-    for (const { field, message } of checkObject(object)) mistakes.push({ file, field, message });
+    for (const { field, message } of checkObject(object)) issues.push({ file, field, message });
   }
-  return mistakes.length > 0 ? Err(mistakes) : Ok(parsed.data.objects);
+  return issues.length > 0 ? Err(issues) : Ok(parsed.data.objects);
 }
 
 /**
--- a/src/cli/problem.ts
+++ b/src/cli/problem.ts
@@ -2,7 +2,7 @@
  * What can go wrong in a command, with its exit code.
  */
 import type { Failure } from '../errors/index.js';
-import type { Mistake } from '../settings/index.js';
+import type { ValidationIssue } from '../settings/index.js';
 import { exitCodes, type ExitCode } from './exit-code.js';
 
 /** Why a command did not do what it was asked to. */
@@ -26,11 +26,11 @@
 /**
  * Builds the problem of wrong files.
  *
- * @param mistakes what is wrong in them
+ * @param issues what is wrong in them
  */
-export function createFileProblem(mistakes: readonly Mistake[]): Problem {
+export function createFileProblem(issues: readonly ValidationIssue[]): Problem {
   const lines: string[] = [];
-  for (const { file, field, message } of mistakes) {
+  for (const { file, field, message } of issues) {
     lines.push(field === '' ? `${file}: ${message}` : `${file}: ${field}: ${message}`);
   }
   return { code: exitCodes.wrongUsage, lines };
--- a/src/cli/queries/check.ts
+++ b/src/cli/queries/check.ts
@@ -2,7 +2,7 @@
  * `reedtally check`: checks settings and configuration files without a node.
  */
 import { Err, Ok } from 'ts-results-es';
-import { loadSettings, type Mistake } from '../../settings/index.js';
+import { loadSettings, type ValidationIssue } from '../../settings/index.js';
 import { outputArguments } from '../arguments.js';
 import { createCommand } from '../command.js';
 import { isConfigurationFile, loadConfigurationFile } from '../configuration-file.js';
@@ -19,16 +19,16 @@
     files: { type: 'positional', required: true, description: 'One or more files' },
   },
   run(args, terminal) {
-    const mistakes: Mistake[] = [];
-    for (const file of args._) mistakes.push(...checkFile(file));
-    if (args.json === true) terminal.print(JSON.stringify({ mistakes }));
-    if (mistakes.length > 0) return Promise.resolve(Err(createFileProblem(mistakes)));
+    const issues: ValidationIssue[] = [];
+    for (const file of args._) issues.push(...checkFile(file));
+    if (args.json === true) terminal.print(JSON.stringify({ mistakes: issues }));
+    if (issues.length > 0) return Promise.resolve(Err(createFileProblem(issues)));
     if (args.json !== true) for (const file of args._) terminal.print(`${file}: ok`);
     return Promise.resolve(Ok(exitCodes.ok));
   },
 });
 
-function checkFile(file: string): Mistake[] {
+function checkFile(file: string): ValidationIssue[] {
   const result = isConfigurationFile(file) ? loadConfigurationFile(file) : loadSettings(file);
   return result.isErr() ? result.error : [];
 }
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -67,7 +67,7 @@
   /** Takes changes that a peer pushed; newly learnt ones are pushed on. */
   receive(changes: readonly Change[]): void;
   /** Takes note of the version that a peer's message carried, and catches up when behind. */
-  heardVersion(version: number): void;
+  versionReceived(version: number): void;
   /** What a peer that has a version still lacks. */
   changesAfter(version: number): ChangeBatch;
   /** Resolves true once a version is in force here, false after a bound of two seconds. */
@@ -251,7 +251,7 @@
       const newest = changes.at(-1)?.version ?? 0;
       if (newest > snapshot.version) catchUp(newest);
     },
-    heardVersion(version) {
+    versionReceived(version) {
       if (version > 0) noteHeard();
       if (version > snapshot.version) catchUp(version);
     },
--- a/src/configuration/writer.ts
+++ b/src/configuration/writer.ts
@@ -11,7 +11,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Err, Ok, type Result } from 'ts-results-es';
 import { match } from 'ts-pattern';
-import { createDoubt, createRefusal, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../errors/index.js';
 import type { Log } from '../events/index.js';
 import type { Metrics } from '../metrics/index.js';
 import type { TableService, Transaction } from '../ports/index.js';
@@ -388,7 +388,7 @@
 
 function describeDoubt({ changes }: Attempt): Failure {
   const version = changes[0]?.version ?? 0;
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'table-unknown',
     message: `the table did not say what became of version ${version}; read the objects again`,
     step: 'configuration.read-back',
--- a/src/errors/failure.ts
+++ b/src/errors/failure.ts
@@ -96,6 +96,6 @@
  *
  * @param detail everything but the outcome
  */
-export function createDoubt(detail: Omit<Failure, 'outcome'>): Failure {
+export function createUnknownOutcome(detail: Omit<Failure, 'outcome'>): Failure {
   return { ...detail, outcome: 'unknown' };
 }
--- a/src/fleet/server.ts
+++ b/src/fleet/server.ts
@@ -60,7 +60,7 @@
  *
  * @param server one of its incarnations
  */
-export function resolveName({ id, bornAtMs }: RegisteredServer): string {
+export function resolveServerName({ id, bornAtMs }: RegisteredServer): string {
   return bornAtMs === undefined ? id : id.slice(0, -formatBirth(bornAtMs).length);
 }
 
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -150,13 +150,13 @@
     left(server) {
       fleet.retire(server, 'the server says that it leaves');
     },
-    tellPartners(message) {
-      overlay.tellPartners(message);
+    broadcast(message) {
+      overlay.broadcast(message);
     },
     send: (peer, message) => overlay.send(peer, message),
   });
   platform.onSignals((server, signals) => {
-    backpressure.heard(server, signals, false);
+    backpressure.signalsReceived(server, signals, false);
   });
   const fleet = createFleet(
     clock,
@@ -260,13 +260,13 @@
     }),
     versions: peering.versions,
     digests: () => ({ crashes: quarantine.digest(), notices: backpressure.digest() }),
-    heardDigests(peer, { crashes, notices }) {
-      quarantine.heardDigest(peer, crashes);
-      backpressure.heardDigest(peer, notices);
+    digestsReceived(peer, { crashes, notices }) {
+      quarantine.digestReceived(peer, crashes);
+      backpressure.digestReceived(peer, notices);
     },
     needed: listSchedulers,
     received: peering.received,
-    heardVersions: peering.heardVersions,
+    versionsReceived: peering.versionsReceived,
     lost: peering.lost,
   });
   const keeper = createRoleKeeper({
--- a/src/gateway/kept-quarantine.ts
+++ b/src/gateway/kept-quarantine.ts
@@ -25,7 +25,7 @@
   signal: AbortSignal;
   /** The gateway that coordinates a service's trials. */
   coordinatorOf(service: string): string;
-  overlay(): Pick<Overlay, 'send' | 'tellPartners'>;
+  overlay(): Pick<Overlay, 'send' | 'broadcast'>;
 }
 
 /**
@@ -45,8 +45,8 @@
     probe: createTcpProbe(),
     node,
     coordinatorOf: (service) => parts.coordinatorOf(service),
-    tellPartners(message) {
-      parts.overlay().tellPartners(message);
+    broadcast(message) {
+      parts.overlay().broadcast(message);
     },
     send(peer, message) {
       parts.overlay().send(peer, message);
--- a/src/gateway/peering.ts
+++ b/src/gateway/peering.ts
@@ -30,7 +30,7 @@
 export interface PeeringParts {
   clock: Clock;
   log: Log;
-  overlay(): Pick<Overlay, 'send' | 'tellPartners'>;
+  overlay(): Pick<Overlay, 'send' | 'broadcast'>;
   routes: RoutingReplica;
   fleet: Fleet;
   submitter: JobSubmitter;
@@ -46,7 +46,7 @@
 export interface Peering {
   received: (node: string, message: GatewayMessage) => void;
   /** A peer has said how far it knows the store. */
-  heardVersions: (node: string, versions: StoreVersions) => void;
+  versionsReceived: (node: string, versions: StoreVersions) => void;
   /** A peer was lost: what it had submitted here has ended. */
   lost: (node: string) => void;
   /** How far this gateway knows what the store holds. */
@@ -76,11 +76,11 @@
     if (!parts.followers.isLargeFleet()) return;
     announcement ??= clock.after(GATHER_MS, () => {
       announcement = undefined;
-      parts.overlay().tellPartners({ kind: 'versions', ...versions() });
+      parts.overlay().broadcast({ kind: 'versions', ...versions() });
     });
   }
 
-  function heardVersions(node: string, theirs: StoreVersions): void {
+  function versionsReceived(node: string, theirs: StoreVersions): void {
     const relies = parts.followers.mayRely();
     const progress = { now: clock.now(), theirs, own: versions(), relies };
     for (const what of catchUp.choose(progress)) {
@@ -159,7 +159,7 @@
   function receive(node: string, message: GatewayMessage): void {
     match(message)
       .with({ kind: 'versions' }, (versions) => {
-        heardVersions(node, versions);
+        versionsReceived(node, versions);
       })
       .with({ kind: 'want' }, (want) => {
         give(node, want);
@@ -228,7 +228,7 @@
       parts.quarantine.peerLost(node);
       parts.backpressure.peerLost(node);
     },
-    heardVersions,
+    versionsReceived,
     versions,
     announce,
   };
--- a/src/gateway/registry-changes.ts
+++ b/src/gateway/registry-changes.ts
@@ -4,7 +4,7 @@
  */
 import {
   resolveIncarnation,
-  resolveName,
+  resolveServerName,
   type RegisteredServer,
   type RegistryChange,
 } from '../fleet/index.js';
@@ -17,7 +17,7 @@
   const packed: SentChange[] = [];
   for (const { server, ...change } of changes) {
     if (server === undefined) packed.push(change);
-    else packed.push({ ...change, server: { ...server, id: resolveName(server) } });
+    else packed.push({ ...change, server: { ...server, id: resolveServerName(server) } });
   }
   return packed;
 }
--- a/src/gossip/members.ts
+++ b/src/gossip/members.ts
@@ -36,7 +36,7 @@
    * @param isOwnWord whether the member itself said so; then it counts more than what others tell
    * @returns whether it was newer
    */
-  learn: (state: State, isOwnWord?: boolean) => boolean;
+  merge: (state: State, isOwnWord?: boolean) => boolean;
   /**
    * Takes in a newer sequence of the incarnation that is known.
    *
@@ -107,7 +107,7 @@
   }
 
   return {
-    learn(state, isOwnWord = false) {
+    merge(state, isOwnWord = false) {
       const known = byNode.get(state.node);
       if (!isNewer(state, known, isOwnWord)) return false;
       retired.delete(state.incarnation);
--- a/src/gossip/outbox.ts
+++ b/src/gossip/outbox.ts
@@ -9,7 +9,7 @@
   /** Queues an item for each partner but the one it came from. */
   add(item: Item, from?: string): void;
   /** A partner sent an item, so that it need not be sent to it. */
-  heard(item: Item, from: string): void;
+  markKnown(item: Item, from: string): void;
   /** Takes what a partner has yet to hear. */
   take(partner: string): Item[];
   /** Whether no partner has anything left to hear. */
@@ -21,7 +21,7 @@
   /** Items of one key replace each other. */
   key(item: Item): string;
   /** Among items of one key, the greater is the newer. */
-  age(item: Item): number;
+  version(item: Item): number;
 }
 
 /**
@@ -49,11 +49,11 @@
         if (partner !== from) queueOf(partner).set(key, item);
       }
     },
-    heard(item, from) {
+    markKnown(item, from) {
       const queue = queues.get(from);
       const key = order.key(item);
       const queued = queue?.get(key);
-      if (queued !== undefined && order.age(queued) <= order.age(item)) queue?.delete(key);
+      if (queued !== undefined && order.version(queued) <= order.version(item)) queue?.delete(key);
     },
     take(partner) {
       const queue = queues.get(partner);
--- a/src/gossip/partners.ts
+++ b/src/gossip/partners.ts
@@ -17,16 +17,16 @@
    *
    * @returns whether the sender became a partner by it
    */
-  heard(node: string, choosesUs: boolean, now: number): boolean;
+  recordHeartbeatReceived(node: string, choosesUs: boolean, now: number): boolean;
   /** Takes note that a heartbeat was sent, and lets go of those that neither side chooses. */
-  told(node: string): void;
+  recordHeartbeatSent(node: string): void;
   has(node: string): boolean;
   isChosen(node: string): boolean;
   names(): string[];
   /** Partners not heard of for longer than the limit. */
   silent(now: number, limitMs: number): string[];
   /** Starts to count anew for each, after this process itself was paused. */
-  forgive(now: number): void;
+  resetSilence(now: number): void;
   remove(node: string): void;
 }
 
@@ -55,7 +55,7 @@
       }
       return added;
     },
-    heard(node, choosesUs, now) {
+    recordHeartbeatReceived(node, choosesUs, now) {
       const known = partners.get(node);
       if (known !== undefined) {
         known.heardAt = now;
@@ -66,7 +66,7 @@
       partners.set(node, { heardAt: now, chosen: false, toldChosen: false, choosesUs });
       return true;
     },
-    told(node) {
+    recordHeartbeatSent(node) {
       const partner = partners.get(node);
       if (partner === undefined) return;
       partner.toldChosen = partner.chosen;
@@ -82,7 +82,7 @@
       }
       return silent;
     },
-    forgive(now) {
+    resetSilence(now) {
       for (const partner of partners.values()) {
         partner.heardAt = now;
       }
--- a/src/index.ts
+++ b/src/index.ts
@@ -51,7 +51,7 @@
   loadSettings,
   settingsSchema,
   type Decisions,
-  type Mistake,
+  type ValidationIssue,
   type Secret,
   type Settings,
 } from './settings/index.js';
--- a/src/links/link.ts
+++ b/src/links/link.ts
@@ -5,7 +5,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 import { match } from 'ts-pattern';
 import type { RawData, WebSocket } from 'ws';
-import { createDoubt, createRefusal, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../errors/index.js';
 import type { Clock, Timer } from '../task/index.js';
 import { createNonce, createProof, matchesProof, type End } from './authentication.js';
 import { decodeFrame, encodeFrame } from './codec.js';
@@ -20,8 +20,8 @@
 export interface LinkOwner {
   opened(link: Link): void;
   ended(link: Link, reason: LinkEnd): void;
-  noticed(link: Link, notice: Notice): void;
-  asked(link: Link, query: Query): Promise<Answer>;
+  noticeReceived(link: Link, notice: Notice): void;
+  queryReceived(link: Link, query: Query): Promise<Answer>;
   transferred(direction: 'sent' | 'received', purpose: string, bytes: number): void;
 }
 
@@ -189,7 +189,7 @@
     match(frame)
       .with({ type: 'notice' }, ({ notice }) => {
         owner.transferred('received', notice.kind, bytes);
-        owner.noticed(link, notice);
+        owner.noticeReceived(link, notice);
       })
       .with({ type: 'query' }, (message) => {
         owner.transferred('received', message.query.kind, bytes);
@@ -205,7 +205,7 @@
   }
 
   async function reply(id: number, message: Query): Promise<void> {
-    const answer = await owner.asked(link, message);
+    const answer = await owner.queryReceived(link, message);
     if (link.isOpen()) transmit({ type: 'answer', id, answer }, answer.kind);
   }
 
@@ -235,5 +235,5 @@
     step: 'link.call' as const,
     peer,
   };
-  return outcome === 'not-run' ? createRefusal(detail) : createDoubt(detail);
+  return outcome === 'not-run' ? createRefusal(detail) : createUnknownOutcome(detail);
 }
--- a/src/links/links.ts
+++ b/src/links/links.ts
@@ -34,8 +34,8 @@
   /** Whether a link is wanted though nothing passes on it. */
   isKept(peer: string): boolean;
   opened(peer: string): void;
-  noticed(peer: string, notice: Notice): void;
-  asked(peer: string, query: Query): Promise<Answer>;
+  noticeReceived(peer: string, notice: Notice): void;
+  queryReceived(peer: string, query: Query): Promise<Answer>;
 }
 
 /** All links of a node. */
@@ -91,11 +91,11 @@
       forgetDialled(link);
       forgetPeer(link, reason);
     },
-    noticed(link, notice) {
-      parts.noticed(link.peer(), notice);
+    noticeReceived(link, notice) {
+      parts.noticeReceived(link.peer(), notice);
     },
-    asked(link, query) {
-      return parts.asked(link.peer(), query);
+    queryReceived(link, query) {
+      return parts.queryReceived(link.peer(), query);
     },
     transferred(direction, purpose, bytes) {
       metrics.peerBytes.inc({ direction, purpose }, bytes);
--- a/src/links/messages.ts
+++ b/src/links/messages.ts
@@ -80,7 +80,7 @@
 export type Suspicion = z.infer<typeof suspicionSchema>;
 
 /** What changed and is passed on from partner to partner, each item once. */
-export const newsSchema = z.object({
+export const gossipMessageSchema = z.object({
   kind: z.literal('news'),
   states: z.array(nodeStateSchema),
   suspicions: z.array(suspicionSchema),
@@ -93,7 +93,7 @@
 });
 
 /** What changed since the last news on a link. */
-export type News = z.infer<typeof newsSchema>;
+export type GossipMessage = z.infer<typeof gossipMessageSchema>;
 
 export const permitQuerySchema = z.object({
   kind: z.literal('permit.request'),
@@ -278,12 +278,12 @@
   kind: z.literal('configuration.changes'),
 });
 
-export const fateQuerySchema = z.object({
+export const requestStatusQuerySchema = z.object({
   kind: z.literal('request.fate'),
   requestId: z.string(),
 });
 
-export const fateSchema = z.object({
+export const requestStatusSchema = z.object({
   requestId: z.string(),
   team: z.string(),
   state: z.enum(['running', 'answered', 'not-run', 'unknown']),
@@ -291,11 +291,11 @@
 });
 
 /** What became of a request. */
-export type Fate = z.infer<typeof fateSchema>;
+export type RequestStatus = z.infer<typeof requestStatusSchema>;
 
-export const fateAnswerSchema = z.object({
+export const requestStatusAnswerSchema = z.object({
   kind: z.literal('request.fate.answer'),
-  fate: fateSchema.optional(),
+  fate: requestStatusSchema.optional(),
 });
 
 export const vmsFetchSchema = z.object({
@@ -322,7 +322,7 @@
 /** Messages that want no answer. */
 export const noticeSchema = z.discriminatedUnion('kind', [
   heartbeatSchema,
-  newsSchema,
+  gossipMessageSchema,
   permitReleaseSchema,
   permitProgressSchema,
   permitCancelSchema,
@@ -338,7 +338,7 @@
   permitQuerySchema,
   limitDrawSchema,
   changesFetchSchema,
-  fateQuerySchema,
+  requestStatusQuerySchema,
   vmsFetchSchema,
 ]);
 
@@ -350,7 +350,7 @@
   refusedSchema,
   limitAllowanceSchema,
   changesAnswerSchema,
-  fateAnswerSchema,
+  requestStatusAnswerSchema,
   vmsAnswerSchema,
   doneSchema,
 ]);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -8,7 +8,7 @@
 import type {
   Heartbeat,
   Links,
-  News,
+  GossipMessage,
   NodeState,
   Notice,
   ShardSummary,
@@ -18,7 +18,12 @@
 import type { Vm, VmList } from '../ports/index.js';
 import type { Settings } from '../settings/index.js';
 import type { Clock, Timer } from '../task/index.js';
-import { createEmptyNews, createNews, newsOrder, type NewsItem } from './news.js';
+import {
+  createEmptyGossipMessage,
+  createGossipMessage,
+  membershipUpdateOrder,
+  type MembershipUpdate,
+} from './updates.js';
 import { createShardRecords } from './shard-records.js';
 import { createView, type View } from './view.js';
 import { createVmWatch } from './vm-watch.js';
@@ -45,9 +50,9 @@
   ownState(): OwnState;
   ownShards(): ShardSummary[];
   /** A peer's message carried this configuration version. */
-  heardVersion(version: number): void;
+  versionReceived(version: number): void;
   /** Shards whose holder is alive and says that it holds them; told again with each heartbeat. */
-  heardShards(shards: ShardSummary[]): void;
+  shardSummariesReceived(shards: ShardSummary[]): void;
   /** The platform's list changed. */
   listed(vms: readonly Vm[]): void;
 }
@@ -58,9 +63,9 @@
   stop(): void;
   /** A link to a peer is up. */
   opened(peer: string): void;
-  receive(peer: string, notice: Heartbeat | News): void;
+  receive(peer: string, notice: Heartbeat | GossipMessage): void;
   /** A holder's word on its shard, that came with an answer. */
-  heardShard(summary: ShardSummary): void;
+  shardSummaryReceived(summary: ShardSummary): void;
   /** Tells partners now, because something changed that others should know at once. */
   announce(): void;
   /** Sends to every partner. */
@@ -92,7 +97,7 @@
   const { node: self, terms, links, clock, log } = parts;
   const view: View = createView();
   const partners = createPartners();
-  const outbox = createOutbox(() => partners.names(), newsOrder);
+  const outbox = createOutbox(() => partners.names(), membershipUpdateOrder);
   const records = createShardRecords();
   let sequence = 0;
   let lastBeatAt = clock.now();
@@ -138,7 +143,7 @@
     return view.alive().length <= terms.maxPeers;
   }
 
-  function tell(item: NewsItem, from?: string): void {
+  function tell(item: MembershipUpdate, from?: string): void {
     outbox.add(item, from);
     if (flushTimer !== undefined || stopped) return;
     flushTimer = clock.after(GATHER_NEWS_MS, () => {
@@ -150,7 +155,7 @@
   function flush(): void {
     for (const peer of partners.names()) {
       const items = outbox.take(peer);
-      if (items.length > 0) links.send(peer, createNews(items));
+      if (items.length > 0) links.send(peer, createGossipMessage(items));
     }
   }
 
@@ -200,12 +205,12 @@
       isStranger: !view.isAlive(peer),
       shards: isMeshed() ? ownShards() : [],
     });
-    partners.told(peer);
+    partners.recordHeartbeatSent(peer);
   }
 
   /** Everything this node knows, for a partner that may have missed some of it. */
   function greet(peer: string): void {
-    const news = createEmptyNews();
+    const news = createEmptyGossipMessage();
     news.states.push(own(), ...view.alive());
     // One that left is not alive, yet its successor must hear that it is taken for it.
     const known = view.find(peer)?.state;
@@ -218,14 +223,14 @@
   function beat(): void {
     if (stopped) return;
     const now = clock.now();
-    if (now - lastBeatAt > terms.suspectAfterMs) partners.forgive(now);
+    if (now - lastBeatAt > terms.suspectAfterMs) partners.resetSilence(now);
     lastBeatAt = now;
     suspectSilent();
     choosePartners();
     dialMissing();
     announce();
     view.forget(now, terms.suspectAfterMs * FORGET_FACTOR);
-    parts.heardShards(listHeldShards());
+    parts.shardSummariesReceived(listHeldShards());
     beatTimer = clock.after(terms.heartbeatEveryMs, beat);
   }
 
@@ -303,15 +308,15 @@
     return summary.incarnation === undefined || summary.incarnation === holder.state.incarnation;
   }
 
-  function heardShard(summary: ShardSummary, from?: string): void {
+  function shardSummaryReceived(summary: ShardSummary, from?: string): void {
     const learnt = records.learn(summary);
     if (learnt === 'changed') tell({ kind: 'shard', summary }, from);
-    else if (from !== undefined) outbox.heard({ kind: 'shard', summary }, from);
-    if (learnt !== 'old' && isHeld(summary)) parts.heardShards([summary]);
+    else if (from !== undefined) outbox.markKnown({ kind: 'shard', summary }, from);
+    if (learnt !== 'old' && isHeld(summary)) parts.shardSummariesReceived([summary]);
   }
 
   function receiveHeartbeat(peer: string, heartbeat: Heartbeat): void {
-    const isNew = partners.heard(peer, heartbeat.chosen, clock.now());
+    const isNew = partners.recordHeartbeatReceived(peer, heartbeat.chosen, clock.now());
     const wasSuspected = view.beat(peer, heartbeat);
     const state = view.find(peer)?.state;
     if (wasSuspected && state !== undefined) tell({ kind: 'state', state }, peer);
@@ -320,21 +325,21 @@
     // A greeting is lost with a link that gives way to another one of the same two nodes.
     if (isNew || isUnknown || heartbeat.isStranger) greet(peer);
     reach(peer, heartbeat.configurationVersion, peer);
-    parts.heardVersion(heartbeat.configurationVersion);
+    parts.versionReceived(heartbeat.configurationVersion);
     for (const summary of heartbeat.shards) {
-      heardShard(summary, peer);
+      shardSummaryReceived(summary, peer);
     }
   }
 
   /** Versions in force go round with the next heartbeats, because there are many of them. */
   function reach(node: string, version: number, from: string): void {
     if (node === self) return;
-    const item: NewsItem = { kind: 'reached', node, version };
+    const item: MembershipUpdate = { kind: 'reached', node, version };
     if (view.reach(node, version)) outbox.add(item, from);
-    else outbox.heard(item, from);
+    else outbox.markKnown(item, from);
   }
 
-  function receiveNews(peer: string, news: News): void {
+  function receiveNews(peer: string, news: GossipMessage): void {
     for (const state of news.states) {
       receiveState(state, peer);
     }
@@ -347,7 +352,7 @@
       }
     }
     for (const summary of news.shards) {
-      heardShard(summary, peer);
+      shardSummaryReceived(summary, peer);
     }
     if (news.listDigest !== undefined) vmWatch.heard(peer, news.listDigest);
   }
@@ -361,8 +366,8 @@
     const isStranger =
       state.node === peer && view.find(peer)?.state.incarnation !== state.incarnation;
     if (view.learn(state, state.node === peer)) tell({ kind: 'state', state }, peer);
-    else outbox.heard({ kind: 'state', state }, peer);
-    if (state.node === peer) parts.heardVersion(state.configurationVersion);
+    else outbox.markKnown({ kind: 'state', state }, peer);
+    if (state.node === peer) parts.versionReceived(state.configurationVersion);
     if (isStranger) greet(peer);
   }
 
@@ -380,7 +385,7 @@
       known?.state.incarnation === incarnation && known.state.sequence > suspicion.sequence;
     if (isRefuted && known.suspectedAt === undefined) tell({ kind: 'state', state: known.state });
     else takeSuspicion(suspicion, peer);
-    outbox.heard({ kind: 'suspicion', suspicion }, peer);
+    outbox.markKnown({ kind: 'suspicion', suspicion }, peer);
   }
 
   function aliveNames(): readonly string[] {
@@ -412,7 +417,7 @@
       if (notice.kind === 'heartbeat') receiveHeartbeat(peer, notice);
       else receiveNews(peer, notice);
     },
-    heardShard,
+    shardSummaryReceived,
     announce,
     broadcast(notice) {
       for (const peer of partners.names()) {
--- a/src/membership/news.ts
+++ b/src/membership/updates.ts
@@ -3,10 +3,10 @@
  */
 import { match } from 'ts-pattern';
 import type { ItemOrder } from '../gossip/index.js';
-import type { News, NodeState, ShardSummary, Suspicion } from '../links/index.js';
+import type { GossipMessage, NodeState, ShardSummary, Suspicion } from '../links/index.js';
 
 /** One thing that partners are to hear. */
-export type NewsItem =
+export type MembershipUpdate =
   | { kind: 'state'; state: NodeState }
   | { kind: 'suspicion'; suspicion: Suspicion }
   | { kind: 'reached'; node: string; version: number }
@@ -14,9 +14,12 @@
   | { kind: 'list'; digest: string };
 
 /** How news items relate. */
-export const newsOrder: ItemOrder<NewsItem> = { key: resolveKey, age: resolveAge };
+export const membershipUpdateOrder: ItemOrder<MembershipUpdate> = {
+  key: resolveKey,
+  version: resolveVersion,
+};
 
-function resolveKey(item: NewsItem): string {
+function resolveKey(item: MembershipUpdate): string {
   return match(item)
     .with({ kind: 'state' }, ({ state }) => `state/${state.node}`)
     .with({ kind: 'suspicion' }, ({ suspicion }) => `suspicion/${suspicion.node}`)
@@ -26,7 +29,7 @@
     .exhaustive();
 }
 
-function resolveAge(item: NewsItem): number {
+function resolveVersion(item: MembershipUpdate): number {
   return match(item)
     .with({ kind: 'state' }, ({ state }) => state.sequence)
     .with({ kind: 'suspicion' }, ({ suspicion }) => suspicion.sequence)
@@ -37,13 +40,13 @@
 }
 
 /** Creates news of nothing. */
-export function createEmptyNews(): News {
+export function createEmptyGossipMessage(): GossipMessage {
   return { kind: 'news', states: [], suspicions: [], reached: [], shards: [] };
 }
 
 /** Creates news of some items. */
-export function createNews(items: Iterable<NewsItem>): News {
-  const news = createEmptyNews();
+export function createGossipMessage(items: Iterable<MembershipUpdate>): GossipMessage {
+  const news = createEmptyGossipMessage();
   const byVersion = new Map<number, string[]>();
   for (const item of items) {
     match(item)
--- a/src/membership/view.ts
+++ b/src/membership/view.ts
@@ -43,7 +43,7 @@
     learn(state, isOwnWord = false) {
       const known = table.find(state.node);
       const version = Math.max(state.configurationVersion, reachedBefore(known, state));
-      if (!table.learn({ ...state, configurationVersion: version }, isOwnWord)) return false;
+      if (!table.merge({ ...state, configurationVersion: version }, isOwnWord)) return false;
       return known === undefined || known.suspectedAt !== undefined || differs(known.state, state);
     },
     beat(node, heartbeat) {
--- a/src/node/held-shards.ts
+++ b/src/node/held-shards.ts
@@ -197,17 +197,17 @@
 function createWatchOwner({ holder, orders }: Holding): ServerWatchOwner {
   return {
     engineState(state) {
-      holder.learnEngine(state);
-      orders?.learnEngine(state);
+      holder.updateEngine(state);
+      orders?.updateEngine(state);
     },
     serviceState(state) {
-      holder.learnService(state);
+      holder.updateService(state);
     },
     cacheEvents(server, events) {
-      holder.learnCacheEvents(server, events);
+      holder.applyCacheEvents(server, events);
     },
     silent(server) {
-      holder.learnSilence(server);
+      holder.recordMissedAnswer(server);
     },
   };
 }
--- a/src/node/main.ts
+++ b/src/node/main.ts
@@ -6,7 +6,7 @@
   loadCertificate,
   loadSecret,
   loadSettings,
-  type Mistake,
+  type ValidationIssue,
   type Settings,
 } from '../settings/index.js';
 import { createNode, type Certificates, type Secrets } from './node.js';
@@ -24,10 +24,10 @@
  */
 export async function runNode(file: string): Promise<number> {
   const settings = loadSettings(file);
-  if (settings.isErr()) return reportMistakes(createLog('unnamed', 'info'), settings.error);
+  if (settings.isErr()) return reportIssues(createLog('unnamed', 'info'), settings.error);
   const log = createLog(settings.value.node, settings.value.log.level);
   const secrets = loadSecrets(settings.value);
-  if (Array.isArray(secrets)) return reportMistakes(log, secrets);
+  if (Array.isArray(secrets)) return reportIssues(log, secrets);
   const node = createNode(settings.value, secrets, log);
   try {
     await node.start();
@@ -40,34 +40,34 @@
   return 0;
 }
 
-function loadSecrets(settings: Settings): Secrets | Mistake[] {
+function loadSecrets(settings: Settings): Secrets | ValidationIssue[] {
   const peerKey = loadSecret('peerKey', settings.secrets.peerKey);
   const operatorToken = loadSecret('operatorToken', settings.secrets.operatorToken);
-  const mistakes: Mistake[] = [];
-  const certificates = loadCertificates(settings, mistakes);
-  if (peerKey.isErr()) mistakes.push(peerKey.error);
-  if (operatorToken.isErr()) mistakes.push(operatorToken.error);
-  if (peerKey.isOk() && operatorToken.isOk() && mistakes.length === 0) {
+  const issues: ValidationIssue[] = [];
+  const certificates = loadCertificates(settings, issues);
+  if (peerKey.isErr()) issues.push(peerKey.error);
+  if (operatorToken.isErr()) issues.push(operatorToken.error);
+  if (peerKey.isOk() && operatorToken.isOk() && issues.length === 0) {
     return { peerKey: peerKey.value, operatorToken: operatorToken.value, certificates };
   }
-  return mistakes;
+  return issues;
 }
 
-function loadCertificates(settings: Settings, mistakes: Mistake[]): Certificates {
+function loadCertificates(settings: Settings, issues: ValidationIssue[]): Certificates {
   const certificates: Certificates = {};
   for (const use of ['caller', 'operator', 'peer'] as const) {
     const files = settings.tls[use];
     if (files === undefined) continue;
     const loaded = loadCertificate(use, files);
-    if (loaded.isErr()) mistakes.push(loaded.error);
+    if (loaded.isErr()) issues.push(loaded.error);
     else certificates[use] = loaded.value;
   }
   return certificates;
 }
 
-function reportMistakes(log: Log, mistakes: readonly Mistake[]): number {
-  for (const mistake of mistakes) {
-    log.write('settingsWrong', { ...mistake });
+function reportIssues(log: Log, issues: readonly ValidationIssue[]): number {
+  for (const issue of issues) {
+    log.write('settingsWrong', { ...issue });
   }
   return WRONG_SETTINGS;
 }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -9,7 +9,7 @@
 import { createMetrics } from '../metrics/index.js';
 import { createOperatorFront, type NodeStatus } from '../operator/index.js';
 import { createFormers } from '../orders/index.js';
-import { createBackends, createFates, createPlacesInUse } from '../router/index.js';
+import { createBackends, createRequestStatuses, createPlacesInUse } from '../router/index.js';
 import type { Certificate, Settings } from '../settings/index.js';
 import { createOwnership, resolveShards, type Shard } from '../shards/index.js';
 import { wait } from '../task/index.js';
@@ -89,7 +89,7 @@
   let inFlight = 0;
 
   const inUse = createPlacesInUse();
-  const fates = createFates(clock, settings.requests.fateKeptMs);
+  const requestStatuses = createRequestStatuses(clock, settings.requests.fateKeptMs);
   const backends = createBackends(environment);
 
   const questions = createPeerQuestions(() => links);
@@ -101,7 +101,7 @@
     held: () => held,
     replica: () => replica,
     limitHome: () => serving.limitHome,
-    fates,
+    requestStatuses,
   });
 
   const links = environment.createLinks({
@@ -117,8 +117,8 @@
     opened: (peer) => {
       membership.opened(peer);
     },
-    noticed: messages.noticed,
-    asked: messages.asked,
+    noticeReceived: messages.noticeReceived,
+    queryReceived: messages.queryReceived,
   });
 
   const replica = createConfigurationReplica({
@@ -164,12 +164,12 @@
       inFlight,
     }),
     ownShards: () => held.summaries(),
-    heardVersion: (version) => {
-      replica.heardVersion(version);
+    versionReceived: (version) => {
+      replica.versionReceived(version);
     },
-    heardShards: (summaries) => {
+    shardSummariesReceived: (summaries) => {
       for (const summary of summaries) {
-        ownership.hear(summary);
+        ownership.shardSummaryReceived(summary);
       }
     },
     listed: (vms) => {
@@ -306,7 +306,7 @@
     membership,
     lapseWatch,
     questions,
-    fates,
+    requestStatuses,
     readiness,
     track: (change) => {
       inFlight += change;
--- a/src/node/orders.ts
+++ b/src/node/orders.ts
@@ -85,7 +85,7 @@
       engine: (vm) => parts.backends.engine(vm.id, vm.address),
       groupsOf,
       learned: (state) => {
-        holder.learnEngine(state);
+        holder.updateEngine(state);
       },
     });
 }
--- a/src/node/peer-messages.ts
+++ b/src/node/peer-messages.ts
@@ -11,7 +11,7 @@
 import type { Answer, Notice, PermitAnswer, PermitQuery, Query } from '../links/index.js';
 import type { Membership } from '../membership/index.js';
 import type { ShardHolder } from '../permits/index.js';
-import type { Fates } from '../router/index.js';
+import type { RequestStatuses } from '../router/index.js';
 import { createTask } from '../task/index.js';
 import type { HeldShards } from './held-shards.js';
 
@@ -24,7 +24,7 @@
   held: () => Pick<HeldShards, 'find'>;
   replica: () => Pick<ConfigurationReplica, 'receive' | 'caughtUp' | 'changesAfter'>;
   limitHome: () => Pick<LimitHome, 'draw'>;
-  fates: Pick<Fates, 'find'>;
+  requestStatuses: Pick<RequestStatuses, 'find'>;
 }
 
 /** What another node sent, as the task takes it. */
@@ -37,8 +37,8 @@
 
 /** Receives messages of other nodes. */
 export interface PeerMessages {
-  noticed: (peer: string, notice: Notice) => void;
-  asked: (peer: string, query: Query) => Promise<Answer>;
+  noticeReceived: (peer: string, notice: Notice) => void;
+  queryReceived: (peer: string, query: Query) => Promise<Answer>;
 }
 
 /**
@@ -48,7 +48,7 @@
  * @param parts the tasks
  */
 export function createPeerMessages(parts: PeerMessagesParts): PeerMessages {
-  const { node, incarnation, log, membership, held, replica, limitHome, fates } = parts;
+  const { node, incarnation, log, membership, held, replica, limitHome, requestStatuses } = parts;
 
   async function askPermit(peer: string, query: PermitQuery): Promise<Answer> {
     await replica().caughtUp(query.configurationVersion);
@@ -70,7 +70,7 @@
   }
 
   function findFate(requestId: string): Answer {
-    const fate = fates.find(requestId);
+    const fate = requestStatuses.find(requestId);
     const found = fate === undefined ? {} : { fate };
     return { kind: 'request.fate.answer', ...found };
   }
@@ -128,10 +128,10 @@
   });
 
   return {
-    noticed(peer, notice) {
+    noticeReceived(peer, notice) {
       task.send({ kind: 'notice', peer, notice });
     },
-    async asked(peer, query) {
+    async queryReceived(peer, query) {
       try {
         return await new Promise<Answer>((answer) => {
           task.send({ kind: 'query', peer, query, answer });
--- a/src/node/peer-questions.ts
+++ b/src/node/peer-questions.ts
@@ -3,7 +3,7 @@
  * of a request of theirs, and allowances of teams' limits.
  */
 import type { ChangeBatch } from '../configuration/index.js';
-import type { Fate, LimitAllowance, LimitDraw, Links } from '../links/index.js';
+import type { RequestStatus, LimitAllowance, LimitDraw, Links } from '../links/index.js';
 
 const ANSWER_TIMEOUT_MS = 1_000;
 /** A request waits for its team's allowance, so the home of a team is not waited for long. */
@@ -14,7 +14,7 @@
   /** Changes after a version, from the first peer that answers; `undefined` when none did. */
   fetchChanges: (after: number) => Promise<ChangeBatch | undefined>;
   /** The fate of a request, from the node that its id names. */
-  findFate: (requestId: string) => Promise<Fate | undefined>;
+  findRequestStatus: (requestId: string) => Promise<RequestStatus | undefined>;
   /** An allowance from a team's home node; `undefined` when it did not answer. */
   drawLimits: (home: string, draw: LimitDraw) => Promise<LimitAllowance | undefined>;
 }
@@ -34,7 +34,7 @@
       }
       return undefined;
     },
-    async findFate(requestId) {
+    async findRequestStatus(requestId) {
       const peer = resolveNodeOf(requestId);
       const query = { kind: 'request.fate' as const, requestId };
       const answer = await links().query(peer, query, ANSWER_TIMEOUT_MS);
--- a/src/node/placing.ts
+++ b/src/node/placing.ts
@@ -73,7 +73,7 @@
     shards: parts.shards,
   });
   const placesReport = createPlacesReport(links, clock, (summary) => {
-    membership.heardShard(summary);
+    membership.shardSummaryReceived(summary);
   });
   const permits = createHolderPlacement({
     node,
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -24,7 +24,7 @@
   createRetryBudget,
   createServiceCallRunner,
   type Backends,
-  type Fates,
+  type RequestStatuses,
   type Placement,
 } from '../router/index.js';
 import type { Settings } from '../settings/index.js';
@@ -50,7 +50,7 @@
   membership: Membership;
   lapseWatch: LapseWatch;
   questions: PeerQuestions;
-  fates: Fates;
+  requestStatuses: RequestStatuses;
   readiness: () => Readiness;
   /** Hears of each request that begins (1) or ends (-1). */
   track: (change: number) => void;
@@ -74,7 +74,8 @@
  */
 export function createServing(parts: ServingParts): Serving {
   const { node, incarnation, settings, environment, platform, log, metrics } = parts;
-  const { placement, backends, replica, membership, lapseWatch, questions, fates } = parts;
+  const { placement, backends, replica, membership, lapseWatch, questions, requestStatuses } =
+    parts;
   const { clock, random, createId } = environment;
 
   const limitHome = createLimitHome({
@@ -144,7 +145,7 @@
     completions,
     services,
     claims,
-    fates,
+    requestStatuses,
     createRequestId: () => createRequestId(node, createId()),
     readiness: parts.readiness,
     entryPoints: (callerZone) =>
@@ -154,7 +155,7 @@
         settings.membership.entryPointsKeptMs,
         random,
       ),
-    findFate: questions.findFate,
+    findRequestStatus: questions.findRequestStatus,
     track: parts.track,
   });
 
--- a/src/orders/shard-orders.ts
+++ b/src/orders/shard-orders.ts
@@ -52,7 +52,7 @@
   /** Takes in a fresh list of the shard's servers. */
   setVms(vms: readonly Vm[]): void;
   /** An engine answered a look at its state. */
-  learnEngine(state: EngineState): void;
+  updateEngine(state: EngineState): void;
   /**
    * Brings an engine into a state: drain, journal, send, settle. Settles when it took effect or was
    * given up, and then says why.
@@ -160,7 +160,7 @@
         if (!ordered.has(vm.id)) add(vm);
       }
     },
-    learnEngine(state) {
+    updateEngine(state) {
       ordered.get(state.id)?.orders.notice(state);
     },
     change(server, wanted) {
--- a/src/peers/beliefs.ts
+++ b/src/peers/beliefs.ts
@@ -7,7 +7,7 @@
 import { createMembers, createOutbox, hashName, type Members } from '../gossip/index.js';
 import type { Clock, Timer } from '../task/index.js';
 import type { GatewayState, GatewaySuspicion, PeerMessage } from './messages.js';
-import { packNews, peerNewsOrder, type PeerNews } from './news.js';
+import { packUpdates, peerUpdateOrder, type PeerUpdate } from './updates.js';
 import { createPendingSuspicions } from './pending-suspicions.js';
 
 /** News that arrives within this time is passed on together, in ms. */
@@ -80,7 +80,7 @@
 export function createBeliefs(parts: BeliefsParts): Beliefs {
   const { clock, self } = parts;
   const members = createMembers<GatewayState>();
-  const outbox = createOutbox<PeerNews>(() => parts.partners(), peerNewsOrder);
+  const outbox = createOutbox<PeerUpdate>(() => parts.partners(), peerUpdateOrder);
   const pending = createPendingSuspicions();
   const found = new Set<string>();
   const lost = new Set<string>();
@@ -102,7 +102,7 @@
     tell({ kind: 'state', record: ownState() });
   }
 
-  function tell(item: PeerNews, from?: string): void {
+  function tell(item: PeerUpdate, from?: string): void {
     outbox.add(item, from);
     if (isClosed) return;
     flushTimer ??= clock.after(GATHER_MS, flush);
@@ -113,7 +113,7 @@
     flushTimer = undefined;
     for (const partner of parts.partners()) {
       const items = outbox.take(partner);
-      if (items.length > 0) parts.send(partner, packNews('news', items));
+      if (items.length > 0) parts.send(partner, packUpdates('news', items));
     }
   }
 
@@ -121,7 +121,7 @@
     const known = members.find(node);
     if (known?.suspectedAt === undefined) return;
     const record = resolveSuspicion(known.state);
-    parts.send(node, packNews('news', [{ kind: 'suspicion', record }]));
+    parts.send(node, packUpdates('news', [{ kind: 'suspicion', record }]));
   }
 
   function takeNews(news: PeerMessage & { kind: 'news' }, from: string): void {
@@ -143,12 +143,12 @@
   }
 
   function sendView(node: string): void {
-    const items: PeerNews[] = [{ kind: 'state', record: ownState() }];
+    const items: PeerUpdate[] = [{ kind: 'state', record: ownState() }];
     for (const { state, suspectedAt } of members.all()) {
       if (suspectedAt === undefined) items.push({ kind: 'state', record: state });
       else items.push({ kind: 'suspicion', record: resolveSuspicion(state) });
     }
-    parts.send(node, packNews('view', items));
+    parts.send(node, packUpdates('view', items));
   }
 
   function takeState(state: GatewayState, from: string, isOwnWord = false): void {
@@ -157,9 +157,9 @@
       if (state.incarnation !== self.incarnation) tell({ kind: 'state', record: ownState() });
       return;
     }
-    const item: PeerNews = { kind: 'state', record: state };
+    const item: PeerUpdate = { kind: 'state', record: state };
     if (learn(state, isOwnWord)) tell(item, from);
-    else outbox.heard(item, from);
+    else outbox.markKnown(item, from);
   }
 
   function learn(state: GatewayState, isOwnWord: boolean): boolean {
@@ -167,7 +167,7 @@
     const known = members.find(node);
     const before = known?.state.incarnation;
     const wasAlive = members.isAlive(node);
-    if (!members.learn(state, isOwnWord)) return false;
+    if (!members.merge(state, isOwnWord)) return false;
     pending.refuted(node);
     parts.learnt(state);
     if (!wasAlive) found.add(node);
@@ -183,15 +183,15 @@
     }
     const known = members.find(node);
     if (known?.state.incarnation !== incarnation) return;
-    const item: PeerNews = { kind: 'suspicion', record: suspicion };
-    if (from !== undefined) outbox.heard(item, from);
+    const item: PeerUpdate = { kind: 'suspicion', record: suspicion };
+    if (from !== undefined) outbox.markKnown(item, from);
     if (known.suspectedAt !== undefined) return;
     if (known.state.sequence > suspicion.sequence) {
       if (from !== undefined) answer(from, known.state);
       return;
     }
     if (parts.isHeard(node)) {
-      parts.send(node, packNews('news', [item]));
+      parts.send(node, packUpdates('news', [item]));
       return;
     }
     if (pending.add(suspicion, clock.now()) && from !== undefined) tell(item, from);
@@ -209,7 +209,7 @@
 
   /** Tells one peer what it has missed. */
   function answer(node: string, state: GatewayState): void {
-    parts.send(node, packNews('news', [{ kind: 'state', record: state }]));
+    parts.send(node, packUpdates('news', [{ kind: 'state', record: state }]));
   }
 
   function suspect(state: GatewayState): void {
--- a/src/peers/overlay.ts
+++ b/src/peers/overlay.ts
@@ -59,9 +59,9 @@
   needed(): Iterable<string>;
   received(node: string, message: GatewayMessage): void;
   /** A partner's heartbeat said how far it knows the store. */
-  heardVersions(node: string, versions: StoreVersions): void;
+  versionsReceived(node: string, versions: StoreVersions): void;
   /** A partner's heartbeat said its digests. */
-  heardDigests(node: string, digests: KnowledgeDigests): void;
+  digestsReceived(node: string, digests: KnowledgeDigests): void;
   /** The link to a peer was lost, the peer is silent, or another incarnation has taken its place. */
   lost(node: string): void;
   /** Makes links; real ones where absent. */
@@ -84,7 +84,7 @@
   /** Sends to a peer, making a link where there is none; false when the peer is not known. */
   send(node: string, message: PeerMessage): boolean;
   /** Sends to all partners. */
-  tellPartners(message: PeerMessage): void;
+  broadcast(message: PeerMessage): void;
   /** Tells all gateways at once that this one's status has changed. */
   publish(): void;
   close(): void;
@@ -191,7 +191,7 @@
 
   function receive(node: string, message: PeerMessage): void {
     // whoever was not heard meanwhile has its time anew
-    if (isIsolated()) partners.forgive(clock.now());
+    if (isIsolated()) partners.resetSilence(clock.now());
     heardAt = clock.now();
     expecting.delete(node);
     if (message.kind === 'beat') takeBeat(node, message);
@@ -203,12 +203,12 @@
 
   function takeBeat(node: string, beat: PeerMessage & { kind: 'beat' }): void {
     const now = clock.now();
-    partners.heard(node, beat.isChosen, now);
+    partners.recordHeartbeatReceived(node, beat.isChosen, now);
     beliefs.challenge(node);
     if (beat.digest === beliefs.digest()) differing.delete(node);
     else noteDifference(node, now);
-    parts.heardVersions(node, beat);
-    parts.heardDigests(node, { crashes: beat.crashDigest, notices: beat.noticeDigest });
+    parts.versionsReceived(node, beat);
+    parts.digestsReceived(node, { crashes: beat.crashDigest, notices: beat.noticeDigest });
   }
 
   function noteDifference(node: string, now: number): void {
@@ -244,7 +244,7 @@
     beliefs.flush();
     for (const partner of partners.names()) {
       sendBeat(partner);
-      partners.told(partner);
+      partners.recordHeartbeatSent(partner);
     }
     logChanges();
     beatTimer = clock.after(BEAT_MS, tend);
@@ -273,7 +273,7 @@
   }
 
   function forgiveAll(now: number): void {
-    partners.forgive(now);
+    partners.resetSilence(now);
     heardAt = now;
   }
 
@@ -375,7 +375,7 @@
     peers: () => (isIsolated() ? nobody : members.alive()),
     isConnected: () => partners.names().length > 0 && !isIsolated(),
     send,
-    tellPartners(message) {
+    broadcast(message) {
       for (const partner of partners.names()) {
         links.send(partner, message);
       }
--- a/src/peers/news.ts
+++ b/src/peers/updates.ts
@@ -5,13 +5,13 @@
 import type { GatewayState, GatewaySuspicion, PeerMessage } from './messages.js';
 
 /** One thing that partners are to hear. */
-export type PeerNews =
+export type PeerUpdate =
   { kind: 'state'; record: GatewayState } | { kind: 'suspicion'; record: GatewaySuspicion };
 
 /** How news of gateways relate. */
-export const peerNewsOrder: ItemOrder<PeerNews> = {
+export const peerUpdateOrder: ItemOrder<PeerUpdate> = {
   key: ({ kind, record }) => `${kind}/${record.node}`,
-  age: ({ record }) => record.sequence,
+  version: ({ record }) => record.sequence,
 };
 
 /**
@@ -20,7 +20,7 @@
  * @param kind whether it is passed on
  * @param items the news
  */
-export function packNews(kind: 'news' | 'view', items: Iterable<PeerNews>): PeerMessage {
+export function packUpdates(kind: 'news' | 'view', items: Iterable<PeerUpdate>): PeerMessage {
   const states: GatewayState[] = [];
   const suspicions: GatewaySuspicion[] = [];
   for (const item of items) {
--- a/src/permits/shard-holder.ts
+++ b/src/permits/shard-holder.ts
@@ -101,11 +101,11 @@
   /** A node is gone; its permits are no longer in use. */
   forgetNode(node: string): void;
   setVms(vms: readonly Vm[]): void;
-  learnEngine(state: EngineState): void;
-  learnService(state: ServiceState): void;
-  learnCacheEvents(server: string, events: readonly CacheEvent[]): void;
+  updateEngine(state: EngineState): void;
+  updateService(state: ServiceState): void;
+  applyCacheEvents(server: string, events: readonly CacheEvent[]): void;
   /** A server did not answer. */
-  learnSilence(server: string): void;
+  recordMissedAnswer(server: string): void;
   /** Keeps a server free of new work, for an order. */
   holdForOrder(server: string, held: boolean): void;
   /** Permits out on a server; 0 for one that the shard does not have. */
@@ -441,19 +441,19 @@
       }
       dispatch();
     },
-    learnEngine(state) {
+    updateEngine(state) {
       const server = servers.get(state.id);
       if (server === undefined) return;
       learnEngine(server, state);
       dispatch();
     },
-    learnService(state) {
+    updateService(state) {
       const server = servers.get(state.id);
       if (server === undefined) return;
       learnService(server, state);
       dispatch();
     },
-    learnCacheEvents(id, events) {
+    applyCacheEvents(id, events) {
       const server = servers.get(id);
       if (server === undefined) return;
       for (const { kind, prefixes } of events) {
@@ -463,7 +463,7 @@
         }
       }
     },
-    learnSilence(id) {
+    recordMissedAnswer(id) {
       const server = servers.get(id);
       if (server !== undefined) server.silences += 1;
     },
--- a/src/ports/http/engine-stream.ts
+++ b/src/ports/http/engine-stream.ts
@@ -5,7 +5,12 @@
 import { StringDecoder } from 'node:string_decoder';
 import { createParser, type EventSourceParser } from 'eventsource-parser';
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure, type FailureCode } from '../../errors/index.js';
+import {
+  createUnknownOutcome,
+  createRefusal,
+  type Failure,
+  type FailureCode,
+} from '../../errors/index.js';
 import { engineChunkSchema, engineRefusalSchema, type EngineChunk } from '../model-engine.js';
 import type { AnswerHead, HttpChannel, HttpRequest, Loss } from './channel.js';
 import { parseJson } from './json.js';
@@ -150,7 +155,7 @@
       peer,
     });
   }
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'backend-server-failed',
     message: `the engine answered status ${status}`,
     step: 'engine.connect',
@@ -174,9 +179,14 @@
     });
   }
   if (!loss.aborted) return describeCut(peer, loss.reason);
-  return createDoubt({ code: 'cancelled', message: loss.reason, step: 'engine.stream', peer });
+  return createUnknownOutcome({
+    code: 'cancelled',
+    message: loss.reason,
+    step: 'engine.stream',
+    peer,
+  });
 }
 
 function describeCut(peer: string, message: string): Failure {
-  return createDoubt({ code: 'answer-incomplete', message, step: 'engine.stream', peer });
+  return createUnknownOutcome({ code: 'answer-incomplete', message, step: 'engine.stream', peer });
 }
--- a/src/ports/http/model-engine.ts
+++ b/src/ports/http/model-engine.ts
@@ -4,7 +4,12 @@
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import * as z from 'zod';
-import { createDoubt, createRefusal, type Failure, type Step } from '../../errors/index.js';
+import {
+  createUnknownOutcome,
+  createRefusal,
+  type Failure,
+  type Step,
+} from '../../errors/index.js';
 import { createSystemClock, type Clock } from '../../task/index.js';
 import {
   cacheEventSchema,
@@ -151,11 +156,11 @@
 
 function describeLoss(peer: string, step: Step, loss: Loss): Failure {
   const detail = { code: 'backend-server-unreachable', message: loss.reason, step, peer } as const;
-  return loss.sent ? createDoubt(detail) : createRefusal(detail);
+  return loss.sent ? createUnknownOutcome(detail) : createRefusal(detail);
 }
 
 function describeFailed(peer: string, step: Step, message: string): Failure {
-  return createDoubt({ code: 'backend-server-failed', message, step, peer });
+  return createUnknownOutcome({ code: 'backend-server-failed', message, step, peer });
 }
 
 function describeCancelled(peer: string): Failure {
--- a/src/ports/http/object-store.ts
+++ b/src/ports/http/object-store.ts
@@ -2,7 +2,7 @@
  * The object store over HTTP. The protocol is described at the port.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../errors/index.js';
 import { createSystemClock, type Clock } from '../../task/index.js';
 import type { ObjectStore } from '../object-store.js';
 import { createHttpChannel, type HttpAnswer, type HttpRequest } from './channel.js';
@@ -44,7 +44,7 @@
       step: 'claim.settle',
       peer,
     } as const;
-    return nothingDone ? createRefusal(detail) : createDoubt(detail);
+    return nothingDone ? createRefusal(detail) : createUnknownOutcome(detail);
   }
 
   return {
--- a/src/ports/http/plain-service.ts
+++ b/src/ports/http/plain-service.ts
@@ -4,7 +4,7 @@
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { z } from 'zod';
-import { createDoubt, createRefusal, type Failure } from '../../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../errors/index.js';
 import { createSystemClock, type Clock } from '../../task/index.js';
 import { loadReportSchema } from '../model-engine.js';
 import {
@@ -96,7 +96,7 @@
 }
 
 function describeMismatch(peer: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'answer-mismatched',
     message: 'the answer carries the id of another request',
     step: 'service.call',
@@ -110,7 +110,10 @@
     const code = loss.aborted ? 'cancelled' : 'backend-server-unreachable';
     return createRefusal({ ...detail, code });
   }
-  return createDoubt({ ...detail, code: loss.aborted ? 'cancelled' : 'answer-incomplete' });
+  return createUnknownOutcome({
+    ...detail,
+    code: loss.aborted ? 'cancelled' : 'answer-incomplete',
+  });
 }
 
 function describeUnreachable(peer: string, message: string): Failure {
--- a/src/ports/http/table-service.ts
+++ b/src/ports/http/table-service.ts
@@ -3,7 +3,12 @@
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { z } from 'zod';
-import { createDoubt, createRefusal, type Failure, type Step } from '../../errors/index.js';
+import {
+  createUnknownOutcome,
+  createRefusal,
+  type Failure,
+  type Step,
+} from '../../errors/index.js';
 import { createSystemClock, type Clock } from '../../task/index.js';
 import {
   committedSchema,
@@ -142,6 +147,6 @@
 }
 
 function describeUnknown(peer: string, message: string): TransactionOutcome {
-  const failure = createDoubt({ code: 'table-unknown', message, step: WRITE_STEP, peer });
+  const failure = createUnknownOutcome({ code: 'table-unknown', message, step: WRITE_STEP, peer });
   return { kind: 'unknown', failure };
 }
--- a/src/ports/http/weight-store.ts
+++ b/src/ports/http/weight-store.ts
@@ -3,7 +3,7 @@
  */
 import { Err, type Result } from 'ts-results-es';
 import * as z from 'zod';
-import { createDoubt, createRefusal, type Failure } from '../../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../errors/index.js';
 import { createSystemClock, type Clock } from '../../task/index.js';
 import type { WeightStore } from '../weight-store.js';
 import { createHttpChannel, type HttpAnswer } from './channel.js';
@@ -31,7 +31,7 @@
   const channel = createHttpChannel({ origin: peer });
 
   function doubt(message: string): Failure {
-    return createDoubt({ code: 'peer-unreachable', message, step: 'load.pace', peer });
+    return createUnknownOutcome({ code: 'peer-unreachable', message, step: 'load.pace', peer });
   }
 
   function refuse(message: string): Failure {
--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -36,7 +36,7 @@
   log: Log;
   metrics: Pick<GatewayMetrics, 'bans'>;
   /** Tells all partners. */
-  tellPartners(message: CrashesMessage): void;
+  broadcast(message: CrashesMessage): void;
   /** Tells one peer. */
   send(node: string, message: CrashesMessage): void;
   /** A request was banned by what this gateway saw, or a ban of its was lifted here: to be kept, or not any more. */
@@ -91,7 +91,7 @@
   /** A number that is the same in all gateways that know the same. */
   digest: () => number;
   /** A peer has said its number. */
-  heardDigest: (node: string, digest: number) => void;
+  digestReceived: (node: string, digest: number) => void;
   peerLost: (node: string) => void;
   ban: (fingerprint: string) => Ban | undefined;
   bans: () => Ban[];
@@ -181,7 +181,7 @@
       if (record !== undefined) news.push({ ...packCrash(record, clock.now()), server });
     }
     untold.clear();
-    if (news.length > 0) parts.tellPartners({ kind: 'crashes', records: news.map(encodeCrash) });
+    if (news.length > 0) parts.broadcast({ kind: 'crashes', records: news.map(encodeCrash) });
   }
 
   function clear(record: CrashRecord, by: string): void {
@@ -226,7 +226,7 @@
     peerLost: (node) => comparisons.delete(node),
     ban: (fingerprint) => resolveBan(find(fingerprint)),
     digest: records.digest,
-    heardDigest(node, digest) {
+    digestReceived(node, digest) {
       const now = clock.now();
       if (digest === records.digest()) {
         comparisons.delete(node);
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -21,7 +21,7 @@
 import { createTrials, type Trial, type TrialMessage } from './trials.js';
 
 /** What the quarantine needs. */
-export interface QuarantineParts extends Pick<CrashLedgerParts, 'tellPartners' | 'banChanged'> {
+export interface QuarantineParts extends Pick<CrashLedgerParts, 'broadcast' | 'banChanged'> {
   clock: Clock;
   log: Log;
   metrics: Pick<GatewayMetrics, 'crashesCounted' | 'bans'>;
@@ -61,7 +61,7 @@
 /** Requests under which servers ended. */
 export interface Quarantine extends Pick<
   CrashLedger,
-  'learn' | 'digest' | 'heardDigest' | 'bans' | 'recordOf' | 'lift'
+  'learn' | 'digest' | 'digestReceived' | 'bans' | 'recordOf' | 'lift'
 > {
   /**
    * A request for a service has come.
--- a/src/relay/read-prompt.ts
+++ b/src/relay/read-prompt.ts
@@ -1,8 +1,8 @@
 /**
  * Has a prompt read by one engine, which then keeps its KV cache for the engine that generates.
  */
-import { resolveName, type RegisteredServer } from '../fleet/index.js';
-import { afterSilence } from '../task/index.js';
+import { resolveServerName, type RegisteredServer } from '../fleet/index.js';
+import { setPeerTimeout } from '../task/index.js';
 import type { IncomingHead } from './exchange.js';
 import type { PlacingContext } from './placer.js';
 import { isOther } from './send.js';
@@ -63,7 +63,7 @@
         },
       },
     );
-    const limit = afterSilence(context.clock, limitMs, () => {
+    const limit = setPeerTimeout(context.clock, limitMs, () => {
       exchange.abort();
       settle({ kind: 'overdue', reason: `not read within ${Math.round(limitMs)} ms` });
     });
@@ -91,7 +91,7 @@
       limit.cancel();
       context.signal.removeEventListener('abort', abort);
       if (outcome.kind === 'lost') void sent.lost();
-      context.judge(server, outcome.kind, isOther(facts, resolveName(server)));
+      context.judge(server, outcome.kind, isOther(facts, resolveServerName(server)));
       context.readEnded(server, outcome);
       resolve(outcome);
     }
--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -5,7 +5,7 @@
  */
 import type { Backpressure } from '../backpressure/index.js';
 import {
-  resolveName,
+  resolveServerName,
   type FleetHealth,
   type Fleet,
   type RegisteredServer,
@@ -215,7 +215,7 @@
     server: RegisteredServer,
     terms: Omit<SendTerms, 'serverId' | 'timeLeftMs'>,
   ): OutgoingRequest {
-    const all = { ...terms, serverId: resolveName(server), timeLeftMs: endAt - clock.now() };
+    const all = { ...terms, serverId: resolveServerName(server), timeLeftMs: endAt - clock.now() };
     return {
       address: server.address,
       method,
--- a/src/relay/send.ts
+++ b/src/relay/send.ts
@@ -5,8 +5,8 @@
  * can still be asked for elsewhere, where that is allowed.
  */
 import type { Agent } from 'node:http';
-import { resolveName, type RegisteredServer } from '../fleet/index.js';
-import { afterSilence, type Clock } from '../task/index.js';
+import { resolveServerName, type RegisteredServer } from '../fleet/index.js';
+import { setPeerTimeout, type Clock } from '../task/index.js';
 import type { CallerAnswer } from './caller-answer.js';
 import { createEventCutter } from './event-stream.js';
 import {
@@ -118,7 +118,7 @@
     const patience =
       patienceMs === undefined
         ? undefined
-        : afterSilence(clock, patienceMs, () => {
+        : setPeerTimeout(clock, patienceMs, () => {
             letGo(patienceMs);
           });
 
@@ -188,7 +188,7 @@
     }
 
     function settleDeclined(): void {
-      const isOtherServer = isOther(facts, resolveName(send.server));
+      const isOtherServer = isOther(facts, resolveServerName(send.server));
       settle({ kind: 'declined', status: head?.status ?? 0, isOtherServer });
     }
 
--- a/src/relay/server-gate.ts
+++ b/src/relay/server-gate.ts
@@ -3,7 +3,7 @@
  * them, and what answers say for it.
  */
 import type { Backpressure } from '../backpressure/index.js';
-import { resolveName, type Fleet, type RegisteredServer } from '../fleet/index.js';
+import { resolveServerName, type Fleet, type RegisteredServer } from '../fleet/index.js';
 import type { IncomingHead } from './exchange.js';
 import type { AnswerFacts } from './protocol.js';
 import { isSuccess } from './send.js';
@@ -58,10 +58,10 @@
     heard(server, head, facts) {
       const { serverId, signals } = facts;
       // an answer of another incarnation says nothing of the one that was asked
-      if (serverId !== undefined && serverId !== resolveName(server)) return;
+      if (serverId !== undefined && serverId !== resolveServerName(server)) return;
       const isOurs = facts.requestId === undefined || facts.requestId === requestId;
       const isSound = isOurs && isSuccess(head.status) && !facts.isDeclined;
-      backpressure.heard(server, signals, isSound);
+      backpressure.signalsReceived(server, signals, isSound);
     },
   };
 }
--- a/src/router/completion.ts
+++ b/src/router/completion.ts
@@ -5,7 +5,7 @@
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { EngineGroup, RequestClass, Team } from '../configuration/objects.js';
-import { createDoubt, createRefusal, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../errors/index.js';
 import type { Log } from '../events/index.js';
 import type { Metrics } from '../metrics/index.js';
 import { resolveEnginePriority } from '../permits/engine-priority.js';
@@ -369,15 +369,15 @@
   const peer = place.server;
   if (outer.aborted) {
     const message = 'the caller went away';
-    return createDoubt({ code: 'cancelled', message, step: 'answer.deliver', peer });
+    return createUnknownOutcome({ code: 'cancelled', message, step: 'answer.deliver', peer });
   }
   if (!watchdog.hasFired()) return failure;
   const message = 'the engine stopped sending; the request goes on elsewhere if it may';
-  return createDoubt({ code: 'answer-incomplete', message, step: 'engine.stream', peer });
+  return createUnknownOutcome({ code: 'answer-incomplete', message, step: 'engine.stream', peer });
 }
 
 function incomplete(place: Place): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'answer-incomplete',
     message: 'the stream ended before the answer did',
     step: 'engine.stream',
--- a/src/router/handover.ts
+++ b/src/router/handover.ts
@@ -3,7 +3,7 @@
  * reading the prompt again.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, type Failure } from '../errors/index.js';
+import { createUnknownOutcome, type Failure } from '../errors/index.js';
 import type { EngineRequest, ModelEngine } from '../ports/index.js';
 
 /** A handover between two engines. */
@@ -52,7 +52,7 @@
     if (item.isErr()) return item.error;
     if (item.value.finishReason !== null) return undefined;
   }
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'answer-incomplete',
     message: 'the prompt was not read to its end',
     step: 'engine.handover',
--- a/src/router/index.ts
+++ b/src/router/index.ts
@@ -3,7 +3,7 @@
 export * from './baselines/index.js';
 export * from './completion.js';
 export * from './direct-placement.js';
-export * from './fates.js';
+export * from './request-statuses.js';
 export * from './holder-placement.js';
 export * from './in-use.js';
 export * from './placement.js';
--- a/src/router/fates.ts
+++ b/src/router/request-statuses.ts
@@ -1,22 +1,22 @@
 /**
  * What became of the requests of this node, remembered for a while after they ended.
  */
-import type { Fate } from '../links/index.js';
+import type { RequestStatus } from '../links/index.js';
 import type { Clock } from '../task/index.js';
 
 const MAX_FATES = 50_000;
 
 interface Remembered {
-  fate: Fate;
+  fate: RequestStatus;
   /** When it ended; `undefined` while it runs. */
   endedAt: number | undefined;
 }
 
 /** The fates of requests, by id. */
-export interface Fates {
+export interface RequestStatuses {
   begin(requestId: string, team: string): void;
-  end(fate: Fate): void;
-  find(requestId: string): Fate | undefined;
+  end(fate: RequestStatus): void;
+  find(requestId: string): RequestStatus | undefined;
 }
 
 /**
@@ -25,7 +25,7 @@
  * @param clock the clock by which fates grow old
  * @param keptMs how long a fate is remembered after the request ended
  */
-export function createFates(clock: Clock, keptMs: number): Fates {
+export function createRequestStatuses(clock: Clock, keptMs: number): RequestStatuses {
   const fates = new Map<string, Remembered>();
 
   function sweep(): void {
--- a/src/scheduling/engine-watch.ts
+++ b/src/scheduling/engine-watch.ts
@@ -5,7 +5,7 @@
  */
 import { createFleetHealth, sharedViewTerms, type HealthOutcome } from '../fleet/index.js';
 import type { Log } from '../events/index.js';
-import { afterSilence, type Clock, type Timer } from '../task/index.js';
+import { setPeerTimeout, type Clock, type Timer } from '../task/index.js';
 
 /** Shortest time without a first event after which an engine counts as silent, in ms: several times
  * what the first event takes on a busy engine of the deployments at hand (some tens of ms). */
@@ -95,7 +95,7 @@
       end(job);
       const silenceMs = Math.max(LEAST_SILENCE_MS, Math.max(usualMs, expectedMs) * SILENCE_FACTOR);
       const since = clock.now();
-      const timer = afterSilence(clock, silenceMs, () => {
+      const timer = setPeerTimeout(clock, silenceMs, () => {
         noticeSilence(expectation);
       });
       const expectation: Expectation = { engine, since, timer };
--- a/src/scheduling/job-submitter.ts
+++ b/src/scheduling/job-submitter.ts
@@ -10,7 +10,7 @@
  */
 import type { Log } from '../events/index.js';
 import type { HealthOutcome } from '../fleet/index.js';
-import { afterSilence, type Clock, type Timer } from '../task/index.js';
+import { setPeerTimeout, type Clock, type Timer } from '../task/index.js';
 import type { Decision, EnginePlacement, Job } from './job.js';
 import type { Scheduler } from './scheduler.js';
 
@@ -129,7 +129,7 @@
       submitHere(submission);
       return;
     }
-    submission.silence = afterSilence(clock, SILENCE_MS, () => {
+    submission.silence = setPeerTimeout(clock, SILENCE_MS, () => {
       log.write('schedulerSilent', { peer: at, request: submission.job.requestId });
       avoidedUntil.set(at, clock.now() + AVOID_MS);
       moveFrom(at);
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -8,7 +8,7 @@
 import { settingsSchema, type CertificateFiles, type Secret, type Settings } from './schema.js';
 
 /** A mistake in a file that a person wrote. */
-export interface Mistake {
+export interface ValidationIssue {
   /** The file that holds it. */
   file: string;
   /** Path of the field, as `listen.caller`; empty for the file as a whole. */
@@ -22,7 +22,7 @@
  *
  * @param file path of a JSON file
  */
-export function loadSettings(file: string): Result<Settings, Mistake[]> {
+export function loadSettings(file: string): Result<Settings, ValidationIssue[]> {
   const document = readJson(file);
   if (document.isErr()) return Err([document.error]);
   const parsed = settingsSchema.safeParse(document.value);
@@ -35,7 +35,7 @@
  *
  * @param file path of the file
  */
-export function readJson(file: string): Result<unknown, Mistake> {
+export function readJson(file: string): Result<unknown, ValidationIssue> {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
@@ -55,8 +55,8 @@
  * @param file the file that was checked
  * @param error what the schema found
  */
-export function describeIssues(file: string, error: z.ZodError): Mistake[] {
-  const mistakes: Mistake[] = [];
+export function describeIssues(file: string, error: z.ZodError): ValidationIssue[] {
+  const mistakes: ValidationIssue[] = [];
   for (const issue of error.issues) {
     mistakes.push({ file, field: issue.path.map(String).join('.'), message: issue.message });
   }
@@ -80,7 +80,7 @@
 export function loadCertificate(
   name: string,
   files: CertificateFiles,
-): Result<Certificate, Mistake> {
+): Result<Certificate, ValidationIssue> {
   const { authorityFile } = files;
   try {
     return Ok({
@@ -100,7 +100,7 @@
  * @param name what the secret is for, for the message
  * @param secret where it comes from
  */
-export function loadSecret(name: string, secret: Secret): Result<string, Mistake> {
+export function loadSecret(name: string, secret: Secret): Result<string, ValidationIssue> {
   if ('environment' in secret) return loadFromEnvironment(name, secret.environment);
   try {
     return checkSecret(name, secret.file, readFileSync(secret.file, 'utf8').trim());
@@ -113,14 +113,14 @@
   }
 }
 
-function loadFromEnvironment(name: string, variable: string): Result<string, Mistake> {
+function loadFromEnvironment(name: string, variable: string): Result<string, ValidationIssue> {
   const value = process.env[variable] ?? '';
   return checkSecret(name, `environment variable ${variable}`, value);
 }
 
 const MIN_SECRET_LENGTH = 16;
 
-function checkSecret(name: string, file: string, value: string): Result<string, Mistake> {
+function checkSecret(name: string, file: string, value: string): Result<string, ValidationIssue> {
   if (value.length >= MIN_SECRET_LENGTH) return Ok(value);
   return Err({
     file,
--- a/src/shards/ownership.ts
+++ b/src/shards/ownership.ts
@@ -62,7 +62,7 @@
   release(): Promise<void>;
   /** Every shard is lost, because the lease is. */
   loseAll(): void;
-  hear(summary: ShardSummary): void;
+  shardSummaryReceived(summary: ShardSummary): void;
   held(): HeldShard[];
   find(shard: string): HeldShard | undefined;
   /** Who holds a shard, as far as this node knows. */
@@ -255,7 +255,7 @@
         drop(shard);
       }
     },
-    hear(summary) {
+    shardSummaryReceived(summary) {
       const own = held.get(summary.shard);
       if (own !== undefined && summary.holder !== node) {
         if (summary.fence <= own.fence) return;
--- a/src/task/index.ts
+++ b/src/task/index.ts
@@ -1,6 +1,6 @@
 /** Tasks, clocks and random sources. */
 export * from './clock.js';
 export * from './guard.js';
-export * from './patience.js';
+export * from './peer-timeout.js';
 export * from './random.js';
 export * from './task.js';
--- a/src/task/patience.ts
+++ b/src/task/peer-timeout.ts
@@ -19,7 +19,7 @@
  * @param delayMs how long the peer may be silent, in milliseconds
  * @param action draws the conclusion
  */
-export function afterSilence(clock: Clock, delayMs: number, action: () => void): Timer {
+export function setPeerTimeout(clock: Clock, delayMs: number, action: () => void): Timer {
   const dueAt = clock.now() + delayMs;
   let timer = clock.after(delayMs, () => {
     if (clock.now() - dueAt > OWN_DELAY_MS) timer = clock.after(CATCH_UP_MS, action);
--- a/test/backpressure/backpressure.test.ts
+++ b/test/backpressure/backpressure.test.ts
@@ -30,7 +30,7 @@
     allocatorOf: () => allocator,
     gateways: () => 7,
     left: (id) => left.push(id),
-    tellPartners: () => undefined,
+    broadcast: () => undefined,
     send: () => true,
   });
   return { backpressure, advance, runUntil, left };
@@ -39,19 +39,19 @@
 describe('what a gateway has heard of a server', () => {
   it('keeps a limit over errors, refusals and words that cannot be read', () => {
     const { backpressure } = setUp();
-    backpressure.heard(server, { ...noSignals, limitPerS: 4 }, true);
-    backpressure.heard(server, noSignals, false);
+    backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4 }, true);
+    backpressure.signalsReceived(server, noSignals, false);
     const unreadable = [{ signal: 'limit' as const, text: '4, 4' }];
-    backpressure.heard(server, { ...noSignals, unreadable }, true);
+    backpressure.signalsReceived(server, { ...noSignals, unreadable }, true);
     expect(backpressure.limits.isLimited(server.id)).to.equal(true);
-    backpressure.heard(server, noSignals, true);
+    backpressure.signalsReceived(server, noSignals, true);
     expect(backpressure.limits.isLimited(server.id)).to.equal(false);
   });
 
   it('does not let an older word of a peer undo a newer one', async () => {
     const { backpressure, advance } = setUp();
     await advance(1_000);
-    backpressure.heard(server, { ...noSignals, limitPerS: 4 }, true);
+    backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4 }, true);
     const rows = [{ server: server.id, isLeaving: false, ageMs: 300 }];
     backpressure.received('peer', { kind: 'notices', rows });
     expect(backpressure.limits.isLimited(server.id)).to.equal(true);
@@ -62,8 +62,8 @@
 
   it('takes a server for leaving for good, whichever word comes last', () => {
     const { backpressure, left } = setUp();
-    backpressure.heard(server, { ...noSignals, isLeaving: true }, true);
-    backpressure.heard(server, noSignals, true);
+    backpressure.signalsReceived(server, { ...noSignals, isLeaving: true }, true);
+    backpressure.signalsReceived(server, noSignals, true);
     const rows = [{ server: server.id, isLeaving: false, ageMs: 0 }];
     backpressure.received('peer', { kind: 'notices', rows });
     expect(left).to.deep.equal([server.id]);
@@ -72,22 +72,22 @@
 
   it('says nothing of another incarnation', () => {
     const { backpressure } = setUp();
-    backpressure.heard(server, { ...noSignals, limitPerS: 4, pauseMs: 500 }, false);
+    backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4, pauseMs: 500 }, false);
     expect(backpressure.limits.isLimited('s@2')).to.equal(false);
     expect(backpressure.msUntilResumed('s@2')).to.equal(0);
   });
 
   it('makes a pause no longer than a minute, and none of no time', () => {
     const { backpressure } = setUp();
-    backpressure.heard(server, { ...noSignals, pauseMs: 0 }, false);
+    backpressure.signalsReceived(server, { ...noSignals, pauseMs: 0 }, false);
     expect(backpressure.paused()).to.deep.equal([]);
-    backpressure.heard(server, { ...noSignals, pauseMs: 3e10 }, false);
+    backpressure.signalsReceived(server, { ...noSignals, pauseMs: 3e10 }, false);
     expect(backpressure.msUntilResumed(server.id)).to.be.within(59_000, 61_000);
   });
 
   it('closes a server only briefly where the gateway that allocates its limit is silent', async () => {
     const { backpressure, runUntil } = setUp('other');
-    backpressure.heard(server, { ...noSignals, limitPerS: 0.5 }, true);
+    backpressure.signalsReceived(server, { ...noSignals, limitPerS: 0.5 }, true);
     expect(await runUntil(backpressure.allow(server.id, true))).to.equal(false);
     expect(backpressure.msUntilOpen(server.id)).to.be.within(1, 500);
   });
--- a/test/caller/requests.test.ts
+++ b/test/caller/requests.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import type { Fate } from '../../src/links/index.js';
+import type { RequestStatus } from '../../src/links/index.js';
 import type { EntryPoints } from '../../src/membership/index.js';
 import { keyOf, MODEL, startCluster, waitUntil, type Cluster } from '../fixtures/cluster.js';
 
@@ -24,10 +24,10 @@
     });
   }
 
-  async function look(node: number, id: string, team = 'kumasi'): Promise<Fate | number> {
+  async function look(node: number, id: string, team = 'kumasi'): Promise<RequestStatus | number> {
     const headers = { authorization: `Bearer ${keyOf(team)}` };
     const answer = await fetch(`${origin(node)}/v1/requests/${id}`, { headers });
-    return answer.status === 200 ? ((await answer.json()) as Fate) : answer.status;
+    return answer.status === 200 ? ((await answer.json()) as RequestStatus) : answer.status;
   }
 
   it('is told by any node, to its own team alone', async () => {
@@ -56,7 +56,7 @@
     }
     const answer = await generate('Is the torque right?');
     const id = answer.headers.get('x-request-id') ?? '';
-    const fate = (await look(1, id)) as Fate;
+    const fate = (await look(1, id)) as RequestStatus;
     expect(answer.status).to.be.within(429, 503);
     expect(fate).to.include({ state: 'not-run' });
     expect(fate.failure?.outcome).to.equal('not-run');
--- a/test/claims/claims.test.ts
+++ b/test/claims/claims.test.ts
@@ -11,7 +11,7 @@
   type ClaimAnswer,
   type ClaimRequest,
 } from '../../src/claims/index.js';
-import { createDoubt, createRefusal } from '../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal } from '../../src/errors/index.js';
 import { createSilentLog } from '../../src/events/index.js';
 import { createMetrics } from '../../src/metrics/index.js';
 import type { ObjectStore, ServiceAnswer } from '../../src/ports/index.js';
@@ -33,7 +33,7 @@
   step: 'service.call',
   peer: 'w1',
 });
-const lost = createDoubt({ ...notSent, code: 'answer-incomplete' });
+const lost = createUnknownOutcome({ ...notSent, code: 'answer-incomplete' });
 
 function createObjects() {
   const stored = new Map<string, Uint8Array>();
--- a/test/configuration/replica.test.ts
+++ b/test/configuration/replica.test.ts
@@ -91,7 +91,7 @@
     (await runUntil(writing.writer.write(createWrite(smallConfiguration)))).unwrap();
     control.down = true;
     expect(await runUntil(following.replica.caughtUp(4))).to.be.true;
-    following.replica.heardVersion(9);
+    following.replica.versionReceived(9);
     expect(await runUntil(following.replica.caughtUp(9))).to.be.false;
     expect(following.replica.current().version).to.equal(4);
   });
--- a/test/gateway/catch-up.test.ts
+++ b/test/gateway/catch-up.test.ts
@@ -71,7 +71,7 @@
     parseRoutes: (text: string) => createDocument(Number(text)),
   } as unknown as PeeringParts);
   node.handle = kept.peering.received;
-  node.heardVersions = kept.peering.heardVersions;
+  node.versionsReceived = kept.peering.versionsReceived;
   return kept;
 }
 
--- a/test/gateway/guards.test.ts
+++ b/test/gateway/guards.test.ts
@@ -19,7 +19,7 @@
     const peering = createPeering({
       clock: createSystemClock(),
       log,
-      overlay: () => ({ send: () => true, tellPartners: () => undefined }),
+      overlay: () => ({ send: () => true, broadcast: () => undefined }),
       scheduler: () => scheduler,
     } as unknown as PeeringParts);
     const peer = 'peer';
--- a/test/links/links.test.ts
+++ b/test/links/links.test.ts
@@ -38,8 +38,8 @@
     addressOf: (peer) => addresses.get(peer),
     isKept: (peer) => kept.has(peer),
     opened: () => undefined,
-    noticed: (_peer, notice) => notices.push(notice),
-    asked: (_peer, query) => {
+    noticeReceived: (_peer, notice) => notices.push(notice),
+    queryReceived: (_peer, query) => {
       queries.push(query);
       return control.answer;
     },
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { createEmptyNews } from '../../src/membership/index.js';
+import { createEmptyGossipMessage } from '../../src/membership/index.js';
 import {
   createEntryVm,
   createNetwork,
@@ -42,7 +42,7 @@
     const first = network.add(nameOf(1));
     await second.membership.start();
     const states = [first.membership.own()];
-    second.membership.receive('nobody', { ...createEmptyNews(), states });
+    second.membership.receive('nobody', { ...createEmptyGossipMessage(), states });
     await first.membership.start();
     await network.advance(1_000);
     expectAllKnow([first, second], 2);
--- a/test/node/peer-messages.test.ts
+++ b/test/node/peer-messages.test.ts
@@ -33,7 +33,7 @@
       },
     }),
     limitHome: () => ({}) as never,
-    fates: { find: () => undefined },
+    requestStatuses: { find: () => undefined },
   });
   return { messages, heard, events };
 }
@@ -41,9 +41,9 @@
 describe('messages of other nodes', () => {
   it('are handled in the order in which they came, notices and queries alike', async () => {
     const { messages, heard } = setUp(() => undefined);
-    messages.noticed('n2', push);
-    const answer = messages.asked('n2', { kind: 'configuration.fetch', after: 0 });
-    messages.noticed('n2', push);
+    messages.noticeReceived('n2', push);
+    const answer = messages.queryReceived('n2', { kind: 'configuration.fetch', after: 0 });
+    messages.noticeReceived('n2', push);
     expect((await answer).kind).to.equal('configuration.changes');
     await settle();
     expect(heard).to.deep.equal(['push', 'fetch', 'push']);
@@ -53,10 +53,10 @@
     const { messages, heard, events } = setUp(() => {
       if (heard.length === 1) throw new Error('broken');
     });
-    messages.noticed('n2', push);
-    messages.noticed('n2', push);
+    messages.noticeReceived('n2', push);
+    messages.noticeReceived('n2', push);
     const wish = { kind: 'permit.request', shard: 's', configurationVersion: 1 } as never;
-    expect(await messages.asked('n2', wish)).to.deep.equal({ kind: 'done' });
+    expect(await messages.queryReceived('n2', wish)).to.deep.equal({ kind: 'done' });
     expect(heard).to.deep.equal(['push', 'push']);
     expect(events).to.deep.equal(['taskFailed', 'taskFailed']);
   });
--- a/test/peers/links.test.ts
+++ b/test/peers/links.test.ts
@@ -34,10 +34,10 @@
       status: () => ({ isReady: true, isFollowing: true }),
       versions: () => ({ routes: 1, fleet: 1 }),
       digests: () => ({ crashes: 0, notices: 0 }),
-      heardDigests: () => undefined,
+      digestsReceived: () => undefined,
       needed: () => [],
       received: (peer) => received.push(peer),
-      heardVersions: (peer) => received.push(peer),
+      versionsReceived: (peer) => received.push(peer),
       lost: (peer) => lost.push(peer),
     });
     await overlay.listen('127.0.0.1', 0);
--- a/test/permits/drive.ts
+++ b/test/permits/drive.ts
@@ -75,7 +75,7 @@
 
   /** The holder hears from each engine. */
   function look(): void {
-    for (const engine of engines.values()) holder.learnEngine(engine.state());
+    for (const engine of engines.values()) holder.updateEngine(engine.state());
   }
 
   function createQuery(wanted: Wanted): PermitQuery {
--- a/test/permits/roles.test.ts
+++ b/test/permits/roles.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
 import { Err, Ok } from 'ts-results-es';
-import { createDoubt } from '../../src/errors/index.js';
+import { createUnknownOutcome } from '../../src/errors/index.js';
 import type { EngineChunk, EngineRequest, ModelEngine } from '../../src/ports/index.js';
 import { handOver } from '../../src/router/handover.js';
 import { createDrive } from './drive.js';
 
-const failure = createDoubt({
+const failure = createUnknownOutcome({
   code: 'backend-server-failed',
   message: 'no KV cache',
   step: 'engine.handover',
--- a/test/permits/shard-holder.test.ts
+++ b/test/permits/shard-holder.test.ts
@@ -155,8 +155,8 @@
     }
     await drive.advance(60);
     const before = drive.outcomes.filter(({ refusal }) => refusal !== undefined).length;
-    drive.holder.learnSilence('manual-2');
-    drive.holder.learnSilence('manual-2');
+    drive.holder.recordMissedAnswer('manual-2');
+    drive.holder.recordMissedAnswer('manual-2');
     await drive.advance(60);
     const after = drive.outcomes.filter(({ refusal }) => refusal !== undefined).length;
     expect(after).to.be.greaterThan(before);
--- a/test/quarantine/spreading.test.ts
+++ b/test/quarantine/spreading.test.ts
@@ -29,8 +29,8 @@
       probe: { dial: () => Promise.resolve('refused') },
       node: node.name,
       coordinatorOf: () => node.name,
-      tellPartners(message) {
-        node.overlay.tellPartners(message);
+      broadcast(message) {
+        node.overlay.broadcast(message);
       },
       send(peer, message) {
         node.overlay.send(peer, message);
--- a/test/roles/drawn-histories.test.ts
+++ b/test/roles/drawn-histories.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { Err, Ok } from 'ts-results-es';
-import { createDoubt, createRefusal } from '../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal } from '../../src/errors/index.js';
 import { createSilentLog } from '../../src/events/index.js';
 import { resolveEra, resolvePosition } from '../../src/ports/position.js';
 import type { Row, TableService, Transaction } from '../../src/ports/index.js';
@@ -17,7 +17,7 @@
 
 const detail = { message: 'cut off', step: 'configuration.transact', peer: 'table' } as const;
 const cut = createRefusal({ ...detail, code: 'table-unavailable' });
-const doubt = createDoubt({ ...detail, code: 'table-unknown' });
+const doubt = createUnknownOutcome({ ...detail, code: 'table-unknown' });
 
 /** One table, which is restored from copies. */
 function createTable() {
--- a/test/router/runners.test.ts
+++ b/test/router/runners.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../src/errors/index.js';
 import { createSilentLog } from '../../src/events/index.js';
 import { createMetrics } from '../../src/metrics/index.js';
 import type { EngineChunk, EngineRequest, ServiceAnswer } from '../../src/ports/index.js';
@@ -23,7 +23,7 @@
 import { createObject, createVm } from '../fixtures/configuration.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
-const cut = createDoubt({
+const cut = createUnknownOutcome({
   code: 'answer-incomplete',
   message: 'cut',
   step: 'engine.stream',
--- a/test/shards/leaving.test.ts
+++ b/test/shards/leaving.test.ts
@@ -88,7 +88,7 @@
     createOrders: () => ({
       start: () => Promise.resolve(),
       setVms: () => undefined,
-      learnEngine: () => undefined,
+      updateEngine: () => undefined,
       change: () => expect.fail(),
       changing: () => [],
       stop: () => undefined,
--- a/test/task/task.test.ts
+++ b/test/task/task.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import {
-  afterSilence,
+  setPeerTimeout,
   createSeededRandom,
   createTask,
   wait,
@@ -113,7 +113,7 @@
   it('ends when the time is over', () => {
     const { clock, runAt } = setUp();
     let silent = 0;
-    afterSilence(clock, 40, () => (silent += 1));
+    setPeerTimeout(clock, 40, () => (silent += 1));
     runAt(41);
     expect(silent).to.equal(1);
   });
@@ -121,7 +121,7 @@
   it('reads what has arrived first where the process itself stood still', () => {
     const { clock, runAt } = setUp();
     let silent = 0;
-    const timer = afterSilence(clock, 40, () => (silent += 1));
+    const timer = setPeerTimeout(clock, 40, () => (silent += 1));
     runAt(4_000);
     expect(silent).to.equal(0);
     timer.cancel();
@@ -132,7 +132,7 @@
   it('still ends where nothing has arrived', () => {
     const { clock, runAt } = setUp();
     let silent = 0;
-    afterSilence(clock, 40, () => (silent += 1));
+    setPeerTimeout(clock, 40, () => (silent += 1));
     runAt(4_000);
     runAt(4_030);
     expect(silent).to.equal(1);
--- a/tools/faults/fakes/engine-port.ts
+++ b/tools/faults/fakes/engine-port.ts
@@ -2,7 +2,7 @@
  * The port of one process to a fake engine, over the fake network.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../../src/errors/index.js';
 import type {
   EngineChunk,
   EngineRequest,
@@ -64,7 +64,7 @@
   }
 
   function cut(): Failure {
-    return createDoubt({
+    return createUnknownOutcome({
       code: 'answer-incomplete',
       message: 'the stream was cut',
       step: 'engine.stream',
@@ -250,5 +250,5 @@
 
 function cancelled(peer: string, hasBegun: boolean): Failure {
   const detail = { code: 'cancelled', message: 'cancelled', step: 'engine.stream', peer } as const;
-  return hasBegun ? createDoubt(detail) : createRefusal(detail);
+  return hasBegun ? createUnknownOutcome(detail) : createRefusal(detail);
 }
--- a/tools/faults/fakes/links.ts
+++ b/tools/faults/fakes/links.ts
@@ -3,7 +3,7 @@
  * messages silently, as a network partition does.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../../src/errors/index.js';
 import type { Answer, Links, LinksParts, Notice, Query } from '../../../src/links/index.js';
 import type { RandomSource } from '../../../src/task/index.js';
 import type { StepWatch } from '../step-watch.js';
@@ -119,7 +119,7 @@
     watch.reach(stepOfNotice(notice), from.process);
     const sent = structuredClone(notice);
     const deliver = () => {
-      to.parts.noticed(from.process.name, structuredClone(sent));
+      to.parts.noticeReceived(from.process.name, structuredClone(sent));
     };
     carry(from, to, () => {
       deliver();
@@ -150,10 +150,10 @@
         resolve(result);
       };
       const timer = from.process.clock.after(timeoutMs, () => {
-        settle(Err(createDoubt(describeUnreachable(peer))));
+        settle(Err(createUnknownOutcome(describeUnreachable(peer))));
       });
       const answer = async () => {
-        const given = await to.parts.asked(from.process.name, sent);
+        const given = await to.parts.queryReceived(from.process.name, sent);
         watch.reachAfter(stepOfQuery(message), from.process);
         carry(to, from, () => {
           timer.cancel();
--- a/tools/faults/fakes/service.ts
+++ b/tools/faults/fakes/service.ts
@@ -3,7 +3,7 @@
  * that its body names.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../../src/errors/index.js';
 import type { PlainService, ServiceAnswer, ServiceCall, Vm } from '../../../src/ports/index.js';
 import type { ServerPortParts } from './engine-port.js';
 
@@ -186,7 +186,7 @@
 }
 
 function lost(peer: string): Failure {
-  return createDoubt({
+  return createUnknownOutcome({
     code: 'answer-incomplete',
     message: 'the connection was lost',
     step: 'service.call',
@@ -196,5 +196,5 @@
 
 function cancelled(peer: string, sent: boolean): Failure {
   const detail = { code: 'cancelled', message: 'cancelled', step: 'service.call', peer } as const;
-  return sent ? createDoubt(detail) : createRefusal(detail);
+  return sent ? createUnknownOutcome(detail) : createRefusal(detail);
 }
--- a/tools/faults/fakes/table.ts
+++ b/tools/faults/fakes/table.ts
@@ -2,7 +2,7 @@
  * The table service: conditional transactions on rows in memory, with the faults of the real one.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
-import { createDoubt, createRefusal, type Failure } from '../../../src/errors/index.js';
+import { createUnknownOutcome, createRefusal, type Failure } from '../../../src/errors/index.js';
 import type {
   Row,
   TableService,
@@ -31,7 +31,7 @@
 
 const detail = { message: 'fault', step: 'configuration.transact', peer: TABLE } as const;
 const unavailable = createRefusal({ ...detail, code: 'table-unavailable' });
-const unknown = createDoubt({ ...detail, code: 'table-unknown' });
+const unknown = createUnknownOutcome({ ...detail, code: 'table-unknown' });
 
 /** What happens to a write on its way. */
 export interface WriteFault {
--- a/tools/slopes/measure-pure.ts
+++ b/tools/slopes/measure-pure.ts
@@ -166,7 +166,7 @@
   });
   holder.setVms(vms);
   for (const { id } of vms) {
-    holder.learnEngine({
+    holder.updateEngine({
       id,
       incarnation: 'one',
       role: 'mixed',
--- a/tools/slopes/network.ts
+++ b/tools/slopes/network.ts
@@ -9,12 +9,16 @@
 import {
   decodeFrame,
   encodeFrame,
-  type News,
+  type GossipMessage,
   type NodeState,
   type Notice,
   type ShardSummary,
 } from '../../src/links/index.js';
-import { createEmptyNews, createMembership, type Membership } from '../../src/membership/index.js';
+import {
+  createEmptyGossipMessage,
+  createMembership,
+  type Membership,
+} from '../../src/membership/index.js';
 import { settingsSchema, type Settings } from '../../src/settings/index.js';
 import type { Clock } from '../../src/task/index.js';
 
@@ -161,8 +165,8 @@
         log: createSilentLog(),
         ownState: () => ({ ...createState(index), leaving: node.leaving, ...versionOf(node) }),
         ownShards: () => node.shards,
-        heardVersion: () => undefined,
-        heardShards: () => undefined,
+        versionReceived: () => undefined,
+        shardSummariesReceived: () => undefined,
         listed: () => undefined,
       }),
     };
@@ -212,8 +216,8 @@
   };
 }
 
-function createIntroduction(count: number): News {
-  const news = createEmptyNews();
+function createIntroduction(count: number): GossipMessage {
+  const news = createEmptyGossipMessage();
   for (let index = 0; index < count; index++) {
     news.states.push({ ...createState(index), sequence: 0 });
   }
