--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -163,7 +163,7 @@
     log,
     (id, successor) => {
       const isGone = successor !== undefined || fleet.find(id) === undefined;
-      if (isGone) quarantine.serverGone(id, successor !== undefined);
+      if (isGone) quarantine.serverRemoved(id, successor !== undefined);
       if (successor !== undefined) connections.breakOff(id, resolveAgeMs(successor));
       connections.drop(id);
       health.forget(id);
--- a/src/gateway/kept-quarantine.ts
+++ b/src/gateway/kept-quarantine.ts
@@ -61,9 +61,9 @@
     log,
     signal,
     timeOfDay: () => Date.now(),
-    recordOf: quarantine.recordOf,
-    learn(rows) {
-      quarantine.learn(rows, 'platform');
+    banRowOf: quarantine.banRowOf,
+    mergeRows(rows) {
+      quarantine.mergeRows(rows, 'platform');
     },
   });
   return { quarantine, banRows };
--- a/src/quarantine/ban-rows.ts
+++ b/src/quarantine/ban-rows.ts
@@ -30,8 +30,8 @@
   /** The time of day, in ms since the epoch. */
   timeOfDay(): number;
   /** What is to be kept of a ban; `undefined` where there is none now. */
-  recordOf: (fingerprint: string) => CrashRow | undefined;
-  learn: (rows: readonly CrashRow[]) => void;
+  banRowOf: (fingerprint: string) => CrashRow | undefined;
+  mergeRows: (rows: readonly CrashRow[]) => void;
 }
 
 /** Bans on the platform. */
@@ -59,7 +59,7 @@
 
   async function write(fingerprint: string): Promise<boolean> {
     const key = `${PREFIX}${fingerprint}`;
-    const record = parts.recordOf(fingerprint);
+    const record = parts.banRowOf(fingerprint);
     const outcome = await table.transact(
       record === undefined
         ? { conditions: [], puts: [], deletes: [key] }
@@ -70,7 +70,7 @@
       return false;
     }
     // it may have changed once more while it was written
-    return (parts.recordOf(fingerprint) === undefined) === (record === undefined);
+    return (parts.banRowOf(fingerprint) === undefined) === (record === undefined);
   }
 
   function createValue({
@@ -99,14 +99,14 @@
       const ageMs = Math.max(0, parts.timeOfDay() - atMs);
       records.push({ fingerprint: key.slice(PREFIX.length), ...counts, ageMs });
     }
-    parts.learn(records);
+    parts.mergeRows(records);
     removeFaded(records);
     return true;
   }
 
   function removeFaded(records: readonly CrashRow[]): void {
     for (const { fingerprint } of records) {
-      if (parts.recordOf(fingerprint) === undefined) changed(fingerprint);
+      if (parts.banRowOf(fingerprint) === undefined) changed(fingerprint);
     }
   }
 
--- a/src/quarantine/other-causes.ts
+++ b/src/quarantine/crash-correlator.ts
@@ -13,7 +13,7 @@
 const MEMORY_MS = 8 * SAME_MOMENT_MS;
 
 /** A request that was at work at a server that ended. */
-export interface EndedRun {
+export interface CrashReport {
   server: string;
   fingerprint: string;
   /** Servers that have ended under it, this one included. */
@@ -21,11 +21,11 @@
 }
 
 /** Ends of servers as they are heard of. */
-export interface OtherCauses<Run extends EndedRun> {
+export interface CrashCorrelator<Run extends CrashReport> {
   /** A server ended under a request of this gateway. */
   counted(run: Run): void;
   /** A server ended under a request of another gateway. */
-  heard: (run: EndedRun) => void;
+  reported: (run: CrashReport) => void;
 }
 
 interface End {
@@ -40,13 +40,13 @@
  * @param clock the gateway's clock
  * @param discount hears of each request of this gateway that something else explains
  */
-export function createOtherCauses<Run extends EndedRun>(
+export function createCrashCorrelator<Run extends CrashReport>(
   clock: Clock,
   discount: (run: Run) => void,
-): OtherCauses<Run> {
+): CrashCorrelator<Run> {
   const ends = new Map<string, End>();
 
-  function note({ server, fingerprint, crashes }: EndedRun): void {
+  function note({ server, fingerprint, crashes }: CrashReport): void {
     const now = clock.now();
     for (const [id, { at }] of ends) {
       if (now - at > MEMORY_MS) ends.delete(id);
@@ -74,6 +74,6 @@
         if (hasOtherCause(run, countedAt)) discount(run);
       });
     },
-    heard: note,
+    reported: note,
   };
 }
--- a/src/quarantine/crash-evidence.ts
+++ b/src/quarantine/crash-detector.ts
@@ -31,7 +31,7 @@
 export type CrashSign = 'refused' | 'restarted' | 'lapsed';
 
 /** What the evidence needs. */
-export interface CrashEvidenceParts<Loss> {
+export interface CrashDetectorParts<Loss> {
   clock: Clock;
   log: Log;
   probe: ServerProbe;
@@ -40,7 +40,7 @@
 }
 
 /** Collects lost answers until it is known whether their server has ended. */
-export interface CrashEvidence<Loss> {
+export interface CrashDetector<Loss> {
   /**
    * The connection to a server ended while something was at work there.
    *
@@ -52,7 +52,7 @@
    *
    * @param hasSuccessor whether another incarnation has taken its place
    */
-  gone: (id: string, hasSuccessor: boolean) => void;
+  removed: (id: string, hasSuccessor: boolean) => void;
 }
 
 interface Suspicion<Loss> {
@@ -70,7 +70,7 @@
  *
  * @param parts how to look, and who hears
  */
-export function createCrashEvidence<Loss>(parts: CrashEvidenceParts<Loss>): CrashEvidence<Loss> {
+export function createCrashDetector<Loss>(parts: CrashDetectorParts<Loss>): CrashDetector<Loss> {
   const { clock, log } = parts;
   const suspicions = new Map<string, Suspicion<Loss>>();
 
@@ -142,7 +142,7 @@
       });
       return suspicion.dialling;
     },
-    gone(id, hasSuccessor) {
+    removed(id, hasSuccessor) {
       forgetOld();
       const suspicion = suspicions.get(id);
       if (suspicion === undefined || suspicion.sign !== undefined) return;
--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -8,17 +8,17 @@
 import {
   decodeCrash,
   encodeCrash,
-  packCrash,
-  unpackCrash,
+  toCrashRow,
+  fromCrashRow,
   type CrashesMessage,
   type CrashRow,
 } from './messages.js';
-import { createOtherCauses, type EndedRun } from './other-causes.js';
+import { createCrashCorrelator, type CrashReport } from './crash-correlator.js';
 import {
   createCrashRecords,
   CRASHES_TO_BAN,
   MAX_DISCOUNTED,
-  resolveFadeMs,
+  resolveDecayMs,
   type CrashRecord,
 } from './records.js';
 
@@ -56,19 +56,19 @@
 }
 
 /** What was known of a request when it was sent. */
-export type KnownCrashes = Pick<CrashRecord, 'cleared' | 'crashes' | 'discounted'>;
+export type CrashCounts = Pick<CrashRecord, 'cleared' | 'crashes' | 'discounted'>;
 
 /** A crash as it was counted. */
-interface CountedRun extends EndedRun {
-  known: KnownCrashes;
+interface CountedRun extends CrashReport {
+  countsAtSend: CrashCounts;
 }
 
 /** A request that was at work at a server that ended. */
-export interface LostRun {
+export interface CrashedAttempt {
   fingerprint: string;
   server: string;
   /** What was known of it when it was sent. */
-  known: KnownCrashes;
+  countsAtSend: CrashCounts;
   /** When it was sent, on this gateway's clock in ms. */
   sentAt: number;
   /** Crashes that its own sends before this one came to. */
@@ -78,14 +78,14 @@
 /** What a gateway knows of requests under which servers ended. */
 export interface CrashLedger {
   /** Whether a request of this outline may be known. */
-  mayKnow: (outline: string) => boolean;
+  mayContain: (outline: string) => boolean;
   find: (fingerprint: string) => CrashRecord | undefined;
   /** Counts a server that ended; gives the crashes of the request with it. */
-  count: (run: LostRun) => number;
+  count: (run: CrashedAttempt) => number;
   /** The request was answered. */
   succeeded: (record: CrashRecord) => void;
   /** Takes in what a peer knows, or what is kept on the platform; what is new goes on to partners. */
-  learn: (rows: readonly CrashRow[], source: string) => void;
+  mergeRows: (rows: readonly CrashRow[], source: string) => void;
   received: (node: string, message: CrashesMessage) => void;
   rowsOf: (fingerprint: string) => CrashRow[];
   /** A number that is the same in all gateways that know the same. */
@@ -96,7 +96,7 @@
   ban: (fingerprint: string) => Ban | undefined;
   bans: () => Ban[];
   /** What is to be kept of a ban; `undefined` where there is none. */
-  recordOf: (fingerprint: string) => CrashRow | undefined;
+  banRowOf: (fingerprint: string) => CrashRow | undefined;
   /** An operator lifts a ban, in all gateways; tells whether there was one. */
   lift: (fingerprint: string) => boolean;
 }
@@ -111,7 +111,7 @@
   const records = createCrashRecords();
   /** What partners have not been told yet, with the server whose end changed it. */
   const untold = new Map<string, string | undefined>();
-  const otherCauses = createOtherCauses<CountedRun>(clock, discount);
+  const otherCauses = createCrashCorrelator<CountedRun>(clock, discount);
   /** When a peer whose table differs is next sent this one's. */
   const comparisons = new Map<string, { nextAt: number; pauseMs: number }>();
   let timer: Timer | undefined;
@@ -120,26 +120,26 @@
     return records.find(fingerprint, clock.now());
   }
 
-  function count(run: LostRun): number {
-    const { fingerprint, server, known, countedBefore } = run;
+  function count(run: CrashedAttempt): number {
+    const { fingerprint, server, countsAtSend: known, countedBefore } = run;
     const counted = 1 + Math.max(known.crashes, countedBefore, countUnknown(run));
     const crashes = Math.min(CRASHES_TO_BAN, counted);
     take({ ...known, fingerprint, crashes, at: clock.now() }, { server });
     spread(fingerprint, server);
     if (isBan(find(fingerprint))) parts.banChanged(fingerprint);
-    otherCauses.counted({ server, fingerprint, crashes, known });
+    otherCauses.counted({ server, fingerprint, crashes, countsAtSend: known });
     return counted;
   }
 
   /** Crashes before a send that were not known here yet when it was sent. */
-  function countUnknown({ fingerprint, known, sentAt }: LostRun): number {
+  function countUnknown({ fingerprint, countsAtSend: known, sentAt }: CrashedAttempt): number {
     const record = find(fingerprint);
     if (record?.cleared !== known.cleared) return 0;
     return sentAt > record.at ? record.crashes : 0;
   }
 
   /** Takes a count back: something else has ended the server. */
-  function discount({ fingerprint, server, known }: CountedRun): void {
+  function discount({ fingerprint, server, countsAtSend: known }: CountedRun): void {
     const record = find(fingerprint);
     if (record === undefined || record.discounted >= MAX_DISCOUNTED) return;
     // it was cleared or discounted meanwhile
@@ -161,7 +161,11 @@
     spread(fingerprint);
     if (crashes === 0) parts.cleared(fingerprint);
     if (!isBan(record) || isBan(before)) return;
-    log.write('requestBanned', { fingerprint, crashes, forMs: resolveFadeMs(record, clock.now()) });
+    log.write('requestBanned', {
+      fingerprint,
+      crashes,
+      forMs: resolveDecayMs(record, clock.now()),
+    });
     metrics.bans.inc();
     parts.banned(fingerprint);
   }
@@ -178,7 +182,7 @@
     const news: CrashRow[] = [];
     for (const [fingerprint, server] of untold) {
       const record = find(fingerprint);
-      if (record !== undefined) news.push({ ...packCrash(record, clock.now()), server });
+      if (record !== undefined) news.push({ ...toCrashRow(record, clock.now()), server });
     }
     untold.clear();
     if (news.length > 0) parts.broadcast({ kind: 'crashes', records: news.map(encodeCrash) });
@@ -195,30 +199,30 @@
   function resolveBan(record: CrashRecord | undefined): Ban | undefined {
     if (record === undefined || !isBan(record)) return undefined;
     const { fingerprint, crashes } = record;
-    return { fingerprint, crashes, leftMs: resolveFadeMs(record, clock.now()) };
+    return { fingerprint, crashes, leftMs: resolveDecayMs(record, clock.now()) };
   }
 
   function rowsOf(fingerprint: string): CrashRow[] {
     const record = find(fingerprint);
-    return record === undefined ? [] : [packCrash(record, clock.now())];
+    return record === undefined ? [] : [toCrashRow(record, clock.now())];
   }
 
   function learn(rows: readonly CrashRow[], source: string): void {
     for (const row of rows) {
-      take(unpackCrash(row, clock.now()), { source });
+      take(fromCrashRow(row, clock.now()), { source });
       const { server, fingerprint, crashes } = row;
-      if (server !== undefined) otherCauses.heard({ server, fingerprint, crashes });
+      if (server !== undefined) otherCauses.reported({ server, fingerprint, crashes });
     }
   }
 
   return {
-    mayKnow: records.mayKnow,
+    mayContain: records.mayContain,
     find,
     count,
     succeeded(record) {
       clear(record, 'success');
     },
-    learn,
+    mergeRows: learn,
     received(node, message) {
       learn(message.records.map(decodeCrash), node);
     },
@@ -236,7 +240,7 @@
       if (now < nextAt) return;
       const next = { nextAt: now + pauseMs, pauseMs: Math.min(MAX_COMPARE_MS, 2 * pauseMs) };
       comparisons.set(node, next);
-      const rows = records.list(now).map((record) => encodeCrash(packCrash(record, now)));
+      const rows = records.list(now).map((record) => encodeCrash(toCrashRow(record, now)));
       if (rows.length > 0) parts.send(node, { kind: 'crashes', records: rows });
     },
     bans() {
@@ -247,10 +251,10 @@
       }
       return found;
     },
-    recordOf(fingerprint) {
+    banRowOf(fingerprint) {
       const record = find(fingerprint);
       if (record === undefined || !isBan(record)) return undefined;
-      return packCrash(record, clock.now());
+      return toCrashRow(record, clock.now());
     },
     lift(fingerprint) {
       const record = find(fingerprint);
--- a/src/quarantine/fingerprint.ts
+++ b/src/quarantine/fingerprint.ts
@@ -21,9 +21,9 @@
 /** Names a request by its content; each part is worked out when it is first asked for. */
 export interface Fingerprint {
   /** Everything but the bytes of the body. */
-  outline: () => string;
+  prefix: () => string;
   /** The outline, and a digest of the body: some 2 µs for each kilobyte of it. */
-  whole: () => string;
+  full: () => string;
 }
 
 /**
@@ -47,7 +47,7 @@
     return digested;
   }
 
-  return { outline, whole };
+  return { prefix: outline, full: whole };
 }
 
 /**
@@ -55,7 +55,7 @@
  *
  * @param fingerprint as `whole` gives it
  */
-export function resolveOutline(fingerprint: string): string {
+export function resolvePrefix(fingerprint: string): string {
   return fingerprint.slice(0, OUTLINE_DIGITS);
 }
 
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,6 +1,6 @@
 /** Requests under which backend servers end, kept away from the servers that are left. */
 export * from './ban-rows.js';
-export * from './crash-evidence.js';
+export * from './crash-detector.js';
 export * from './crash-ledger.js';
 export * from './fingerprint.js';
 export * from './messages.js';
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -19,7 +19,7 @@
 export type CrashRow = z.infer<typeof crashRowSchema>;
 
 /** A row as it is told, without the names of its fields: a hundred servers that end at once make 1,600 of them. */
-const toldCrashSchema = z.tuple([
+const crashTupleSchema = z.tuple([
   z.string(),
   z.number(),
   z.number(),
@@ -28,27 +28,27 @@
   z.string().optional(),
 ]);
 
-type ToldCrash = z.infer<typeof toldCrashSchema>;
+type CrashTuple = z.infer<typeof crashTupleSchema>;
 
 export const crashesMessageSchema = z.object({
   kind: z.literal('crashes'),
-  records: z.array(toldCrashSchema),
+  records: z.array(crashTupleSchema),
 });
 
 /** What is known of some requests. */
 export type CrashesMessage = z.infer<typeof crashesMessageSchema>;
 
 /** Puts a row into a message. */
-export function encodeCrash(row: CrashRow): ToldCrash {
+export function encodeCrash(row: CrashRow): CrashTuple {
   const { fingerprint, cleared, crashes, discounted, ageMs, server } = row;
   const counts: [number, number, number] = [cleared, crashes, discounted];
-  const told: ToldCrash = [fingerprint, ...counts, Math.round(ageMs)];
+  const told: CrashTuple = [fingerprint, ...counts, Math.round(ageMs)];
   if (server !== undefined) told.push(server);
   return told;
 }
 
 /** Reads a row of a message. */
-export function decodeCrash(told: ToldCrash): CrashRow {
+export function decodeCrash(told: CrashTuple): CrashRow {
   const [fingerprint, cleared, crashes, discounted, ageMs, server] = told;
   return { fingerprint, cleared, crashes, discounted, ageMs, server };
 }
@@ -59,7 +59,7 @@
  * @param record of this gateway
  * @param now this gateway's clock, in ms
  */
-export function packCrash({ at, ...record }: CrashRecord, now: number): CrashRow {
+export function toCrashRow({ at, ...record }: CrashRecord, now: number): CrashRow {
   return { ...record, ageMs: now - at };
 }
 
@@ -69,7 +69,7 @@
  * @param row a peer's, or the platform's
  * @param now this gateway's clock, in ms
  */
-export function unpackCrash(row: CrashRow, now: number): CrashRecord {
+export function fromCrashRow(row: CrashRow, now: number): CrashRecord {
   const { fingerprint, cleared, crashes, discounted, ageMs } = row;
   return { fingerprint, cleared, crashes, discounted, at: now - Math.max(0, ageMs) };
 }
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -7,13 +7,13 @@
 import type { RegisteredServer } from '../fleet/index.js';
 import type { GatewayMetrics } from '../metrics/index.js';
 import type { Clock } from '../task/index.js';
-import { createCrashEvidence, type CrashSign, type ServerProbe } from './crash-evidence.js';
+import { createCrashDetector, type CrashSign, type ServerProbe } from './crash-detector.js';
 import {
   createCrashLedger,
   type Ban,
   type CrashLedger,
   type CrashLedgerParts,
-  type KnownCrashes,
+  type CrashCounts,
 } from './crash-ledger.js';
 import type { Fingerprint } from './fingerprint.js';
 import type { CrashesMessage } from './messages.js';
@@ -34,7 +34,7 @@
 }
 
 /** One send of a request, or one reading of its prompt. */
-export interface WatchedSend {
+export interface WatchedAttempt {
   /** The server's answer was lost; fulfilled once it was looked whether the server has ended. */
   lost(): Promise<void>;
 }
@@ -49,9 +49,9 @@
   /** Waits for its turn, if a server has ended under it. */
   admit(signal: AbortSignal): Promise<Admission>;
   /** Servers that are left to others under which servers ended, where there is another one. */
-  beside(): readonly string[];
+  serversToAvoid(): readonly string[];
   /** It goes to a server. */
-  sent: (server: RegisteredServer) => WatchedSend;
+  sent: (server: RegisteredServer) => WatchedAttempt;
   /** A server has answered it whole and with success. */
   succeeded(): void;
   /** It has ended. */
@@ -61,7 +61,7 @@
 /** Requests under which servers ended. */
 export interface Quarantine extends Pick<
   CrashLedger,
-  'learn' | 'digest' | 'digestReceived' | 'bans' | 'recordOf' | 'lift'
+  'mergeRows' | 'digest' | 'digestReceived' | 'bans' | 'banRowOf' | 'lift'
 > {
   /**
    * A request for a service has come.
@@ -70,7 +70,7 @@
    */
   watch(fingerprint: Fingerprint, service: string, banned: () => void): WatchedRequest;
   /** The registry has no entry of a server any more. */
-  serverGone: (id: string, hasSuccessor: boolean) => void;
+  serverRemoved: (id: string, hasSuccessor: boolean) => void;
   received: (node: string, message: CrashesMessage | TrialMessage) => void;
   /** A peer was lost. */
   peerLost: (node: string) => void;
@@ -79,14 +79,14 @@
 /** A send whose answer was lost. */
 interface Loss {
   fingerprint: Fingerprint;
-  known: KnownCrashes;
+  known: CrashCounts;
   sentAt: number;
   /** The last loss of the same request before this send: it may be counted only after it. */
   before: Loss | undefined;
   counted: number;
 }
 
-const nothingKnown: KnownCrashes = { cleared: 0, crashes: 0, discounted: 0 };
+const nothingKnown: CrashCounts = { cleared: 0, crashes: 0, discounted: 0 };
 
 /**
  * Creates a quarantine that knows of no request.
@@ -104,7 +104,7 @@
       trials.cleared(fingerprint);
     },
   });
-  const evidence = createCrashEvidence<Loss>({
+  const evidence = createCrashDetector<Loss>({
     clock,
     log,
     probe: parts.probe,
@@ -119,21 +119,21 @@
       parts.send(peer, message);
     },
     rowsOf: ledger.rowsOf,
-    learn: ledger.learn,
+    mergeRows: ledger.mergeRows,
   });
 
   /** Bodies are looked at only where a request of the same outline is known. */
   function find(fingerprint: Fingerprint): CrashRecord | undefined {
-    return ledger.mayKnow(fingerprint.outline()) ? ledger.find(fingerprint.whole()) : undefined;
+    return ledger.mayContain(fingerprint.prefix()) ? ledger.find(fingerprint.full()) : undefined;
   }
 
   function count(loss: Loss, server: RegisteredServer, sign: CrashSign): void {
     const { known, sentAt, before } = loss;
     metrics.crashesCounted.inc({ sign });
     loss.counted = ledger.count({
-      fingerprint: loss.fingerprint.whole(),
+      fingerprint: loss.fingerprint.full(),
       server: server.id,
-      known,
+      countsAtSend: known,
       sentAt,
       countedBefore: before?.counted ?? 0,
     });
@@ -156,7 +156,7 @@
       if (signal.aborted) return 'aborted';
       const known = find(fingerprint);
       if (trial !== undefined || known === undefined || known.crashes === 0) return 'admitted';
-      const answer = await trials.ask(service, known.fingerprint, signal);
+      const answer = await trials.request(service, known.fingerprint, signal);
       if (answer.kind !== 'granted') return answer.kind;
       ({ trial } = answer);
       return 'admitted';
@@ -168,7 +168,7 @@
         return known === undefined ? undefined : ledger.ban(known.fingerprint);
       },
       admit,
-      beside: () => trial?.beside ?? [],
+      serversToAvoid: () => trial?.serversToAvoid ?? [],
       sent(server) {
         const { cleared, crashes, discounted } = find(fingerprint) ?? nothingKnown;
         const before = last;
@@ -203,7 +203,7 @@
   return {
     ...ledger,
     watch,
-    serverGone: evidence.gone,
+    serverRemoved: evidence.removed,
     received(node, message) {
       if (message.kind === 'crashes') ledger.received(node, message);
       else trials.received(node, message);
--- a/src/quarantine/records.ts
+++ b/src/quarantine/records.ts
@@ -7,7 +7,7 @@
  * sent again after its crash was known counts again. A success of the same request sets its count to zero.
  */
 import { hashName } from '../gossip/index.js';
-import { resolveOutline } from './fingerprint.js';
+import { resolvePrefix } from './fingerprint.js';
 
 /** Crashes, each sent after the one before was known, after which a request is banned: a second may be chance where servers
  * end often, and each further one takes the answers of all who are served beside it. */
@@ -44,7 +44,7 @@
 /** The table of one gateway. */
 export interface CrashRecords {
   /** Whether a request of this outline may be in the table. */
-  mayKnow: (outline: string) => boolean;
+  mayContain: (outline: string) => boolean;
   /** What is known of a request by now; `undefined` for nothing. */
   find(fingerprint: string, now: number): CrashRecord | undefined;
   /** Takes a record in; tells whether it is news. */
@@ -56,7 +56,7 @@
 }
 
 /** Time until the count of a record falls by one, in ms. */
-export function resolveFadeMs({ at }: CrashRecord, now: number): number {
+export function resolveDecayMs({ at }: CrashRecord, now: number): number {
   return Math.max(0, at + FADE_MS - now);
 }
 
@@ -71,14 +71,14 @@
   function put(record: CrashRecord): void {
     remove(record.fingerprint);
     records.set(record.fingerprint, record);
-    const outline = resolveOutline(record.fingerprint);
+    const outline = resolvePrefix(record.fingerprint);
     outlines.set(outline, (outlines.get(outline) ?? 0) + 1);
     digest = undefined;
   }
 
   function remove(fingerprint: string): void {
     if (!records.delete(fingerprint)) return;
-    const outline = resolveOutline(fingerprint);
+    const outline = resolvePrefix(fingerprint);
     const left = (outlines.get(outline) ?? 0) - 1;
     if (left > 0) outlines.set(outline, left);
     else outlines.delete(outline);
@@ -110,7 +110,7 @@
   }
 
   return {
-    mayKnow: (outline) => outlines.has(outline),
+    mayContain: (outline) => outlines.has(outline),
     find,
     merge(record, now) {
       const taken = fade(record, now);
--- a/src/quarantine/tcp-probe.ts
+++ b/src/quarantine/tcp-probe.ts
@@ -2,7 +2,7 @@
  * Dials servers over TCP.
  */
 import { connect } from 'node:net';
-import type { ProbeAnswer, ServerProbe } from './crash-evidence.js';
+import type { ProbeAnswer, ServerProbe } from './crash-detector.js';
 
 /** How long a server may take to accept a connection, in ms: within a region it takes a few. */
 const DIAL_TIMEOUT_MS = 250;
--- a/src/quarantine/trial-coordinator.ts
+++ b/src/quarantine/trial-coordinator.ts
@@ -5,7 +5,7 @@
  */
 
 /** Where a trial was asked for. */
-export interface TrialClaim {
+export interface TrialRequest {
   /** The gateway that asked. */
   node: string;
   /** Names the trial at that gateway. */
@@ -18,19 +18,19 @@
 /** The trials of the services that this gateway coordinates. */
 export interface TrialCoordinator {
   /** Asks for a trial; tells whether it may begin now. Otherwise it waits for the one before it. */
-  ask(claim: TrialClaim): boolean;
+  request(claim: TrialRequest): boolean;
   /** A trial runs at a server. */
   placed(node: string, id: string, server: string): void;
   /** A trial is over, or is not wanted any more. Gives the one that may begin now. */
-  ended(node: string, id: string): TrialClaim | undefined;
+  ended(node: string, id: string): TrialRequest | undefined;
   /** A gateway is lost, and its trials with it. Gives those that may begin now. */
-  lost(node: string): TrialClaim[];
+  lost(node: string): TrialRequest[];
   /** Servers at which other trials of the service run. */
-  serversBeside(claim: TrialClaim): string[];
+  serversOfOtherTrials(claim: TrialRequest): string[];
 }
 
 interface Trial {
-  claim: TrialClaim;
+  claim: TrialRequest;
   isRunning: boolean;
   server: string | undefined;
 }
@@ -40,14 +40,14 @@
   /** In the order in which they were asked for. */
   const trials = new Map<string, Trial>();
 
-  function isTaken({ service, fingerprint }: TrialClaim): boolean {
+  function isTaken({ service, fingerprint }: TrialRequest): boolean {
     for (const { claim, isRunning } of trials.values()) {
       if (isRunning && claim.fingerprint === fingerprint && claim.service === service) return true;
     }
     return false;
   }
 
-  function startNext(over: TrialClaim): TrialClaim | undefined {
+  function startNext(over: TrialRequest): TrialRequest | undefined {
     if (isTaken(over)) return undefined;
     for (const trial of trials.values()) {
       const { claim } = trial;
@@ -58,7 +58,7 @@
     return undefined;
   }
 
-  function ended(node: string, id: string): TrialClaim | undefined {
+  function ended(node: string, id: string): TrialRequest | undefined {
     const trial = trials.get(resolveKey(node, id));
     if (trial === undefined) return undefined;
     trials.delete(resolveKey(node, id));
@@ -66,7 +66,7 @@
   }
 
   return {
-    ask(claim) {
+    request(claim) {
       const isRunning = !isTaken(claim);
       trials.set(resolveKey(claim.node, claim.id), { claim, isRunning, server: undefined });
       return isRunning;
@@ -77,7 +77,7 @@
     },
     ended,
     lost(node) {
-      const next: TrialClaim[] = [];
+      const next: TrialRequest[] = [];
       for (const { claim } of [...trials.values()]) {
         if (claim.node !== node) continue;
         const started = ended(node, claim.id);
@@ -85,7 +85,7 @@
       }
       return next;
     },
-    serversBeside({ service, node, id }) {
+    serversOfOtherTrials({ service, node, id }) {
       const found = new Set<string>();
       for (const { claim, server } of trials.values()) {
         const isOwn = claim.node === node && claim.id === id;
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../events/index.js';
 import type { Clock, Timer } from '../task/index.js';
 import { crashRowSchema, type CrashRow } from './messages.js';
-import { createTrialCoordinator, type TrialClaim } from './trial-coordinator.js';
+import { createTrialCoordinator, type TrialRequest } from './trial-coordinator.js';
 
 /** How long the coordinator may take to answer, in ms: some ways there and back, and its processor's turn. */
 const SILENCE_MS = 60;
@@ -53,7 +53,7 @@
 /** A trial that was granted. */
 export interface Trial {
   /** Servers that are left to other trials where there is another one. */
-  beside: readonly string[];
+  serversToAvoid: readonly string[];
   /** The request goes to a server. */
   placed(server: string): void;
   /** The request has ended, and what that showed is known. */
@@ -70,12 +70,12 @@
   send(node: string, message: TrialMessage): void;
   /** What is known of a request. */
   rowsOf(fingerprint: string): CrashRow[];
-  learn(rows: readonly CrashRow[], source: string): void;
+  mergeRows(rows: readonly CrashRow[], source: string): void;
 }
 
 /** Trials of requests. */
 export interface Trials {
-  ask(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer>;
+  request(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer>;
   /** A request is not suspected any more: what waits for its trial may run. */
   cleared(fingerprint: string): void;
   received: (node: string, message: TrialMessage) => void;
@@ -85,7 +85,7 @@
 }
 
 interface Asked {
-  claim: TrialClaim;
+  claim: TrialRequest;
   /** The gateway that was asked. */
   at: string;
   settle: (answer: 'granted' | 'busy' | 'aborted', beside?: readonly string[]) => void;
@@ -109,15 +109,15 @@
     else parts.send(to, message);
   }
 
-  function grant(claim: TrialClaim): void {
-    const beside = coordinator.serversBeside(claim);
+  function grant(claim: TrialRequest): void {
+    const beside = coordinator.serversOfOtherTrials(claim);
     const known = parts.rowsOf(claim.fingerprint);
     tell(claim.node, { kind: 'trial.granted', id: claim.id, known, beside });
   }
 
   function ask(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer> {
     counter += 1;
-    const claim: TrialClaim = { node, id: String(counter), service, fingerprint };
+    const claim: TrialRequest = { node, id: String(counter), service, fingerprint };
     const at = parts.coordinatorOf(service);
     return new Promise((resolve) => {
       let timer: Timer | undefined;
@@ -161,9 +161,9 @@
     });
   }
 
-  function createTrial(claim: TrialClaim, at: string, beside: readonly string[]): Trial {
+  function createTrial(claim: TrialRequest, at: string, beside: readonly string[]): Trial {
     return {
-      beside,
+      serversToAvoid: beside,
       placed(server) {
         tell(at, { kind: 'trial.placed', id: claim.id, server });
       },
@@ -173,7 +173,7 @@
     };
   }
 
-  function end(claim: TrialClaim, at: string): void {
+  function end(claim: TrialRequest, at: string): void {
     if (!asked.delete(claim.id)) return;
     const known = parts.rowsOf(claim.fingerprint);
     tell(at, { kind: 'trial.ended', id: claim.id, known });
@@ -182,15 +182,15 @@
   function received(from: string, message: TrialMessage): void {
     match(message)
       .with({ kind: 'trial.ask' }, ({ id, service, fingerprint }) => {
-        const claim: TrialClaim = { node: from, id, service, fingerprint };
-        if (coordinator.ask(claim)) grant(claim);
+        const claim: TrialRequest = { node: from, id, service, fingerprint };
+        if (coordinator.request(claim)) grant(claim);
         else tell(from, { kind: 'trial.queued', id });
       })
       .with({ kind: 'trial.placed' }, ({ id, server }) => {
         coordinator.placed(from, id, server);
       })
       .with({ kind: 'trial.ended' }, ({ id, known }) => {
-        parts.learn(known, from);
+        parts.mergeRows(known, from);
         const next = coordinator.ended(from, id);
         if (next !== undefined) grant(next);
       })
@@ -198,14 +198,14 @@
         asked.get(id)?.noteQueued();
       })
       .with({ kind: 'trial.granted' }, ({ id, known, beside }) => {
-        parts.learn(known, from);
+        parts.mergeRows(known, from);
         asked.get(id)?.settle('granted', beside);
       })
       .exhaustive();
   }
 
   return {
-    ask,
+    request: ask,
     received,
     cleared(fingerprint) {
       for (const { claim, settle } of [...asked.values()]) {
--- a/src/relay/placer.ts
+++ b/src/relay/placer.ts
@@ -2,7 +2,7 @@
  * How a request finds the backend server for its next send.
  */
 import type { RegisteredServer } from '../fleet/index.js';
-import type { WatchedSend } from '../quarantine/index.js';
+import type { WatchedAttempt } from '../quarantine/index.js';
 import type { Clock } from '../task/index.js';
 import type { ExchangeReceiver, Exchange, IncomingHead } from './exchange.js';
 import type { ExchangeEnd } from './health-outcome.js';
@@ -65,7 +65,7 @@
     receiver: ExchangeReceiver,
   ): Exchange;
   /** The request goes to a server: what follows may be the server's end. */
-  sent(server: RegisteredServer): WatchedSend;
+  sent(server: RegisteredServer): WatchedAttempt;
   /** A send that counts against the route's limit was made. */
   countAttempt(): void;
   /** Whether the route and the budget allow another send; takes it from the budget. */
--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -174,7 +174,7 @@
     paused: () => parts.backpressure.paused(),
     msUntilResumed: gate.msUntilResumed,
     avoided() {
-      const found = [...watched.beside()];
+      const found = [...watched.serversToAvoid()];
       for (const { id } of parts.fleet.available(service)) {
         if (!parts.health.isUsable(id)) found.push(id);
       }
@@ -201,7 +201,7 @@
         request: requestId,
         server: server.id,
         outcome: outcome.kind,
-        fingerprint: outcome.kind === 'lost' ? fingerprint.whole() : undefined,
+        fingerprint: outcome.kind === 'lost' ? fingerprint.full() : undefined,
         reason: 'reason' in outcome ? outcome.reason : undefined,
         status: 'status' in outcome ? outcome.status : undefined,
         ms: Math.round(clock.now() - arrivedAt),
@@ -246,7 +246,7 @@
       zone: parts.zone,
       health: parts.health,
       loads: parts.loads,
-      avoided: watched.beside(),
+      avoided: watched.serversToAvoid(),
       random: parts.random,
       isUrgent: route.rank === 0,
       backpressure: parts.backpressure,
@@ -344,7 +344,7 @@
       request: requestId,
       server: placing.server.id,
       outcome: outcome.kind,
-      fingerprint: outcome.kind === 'lost' ? fingerprint.whole() : undefined,
+      fingerprint: outcome.kind === 'lost' ? fingerprint.full() : undefined,
       reason: 'reason' in outcome ? outcome.reason : undefined,
       move: move.kind,
       ms: Math.round(clock.now() - arrivedAt),
--- a/test/quarantine/other-causes.test.ts
+++ b/test/quarantine/crash-correlator.test.ts
@@ -1,17 +1,17 @@
 import { expect } from 'chai';
-import { createOtherCauses, type EndedRun } from '../../src/quarantine/other-causes.js';
+import { createCrashCorrelator, type CrashReport } from '../../src/quarantine/crash-correlator.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
 function createCase() {
   const { clock, advance } = createFakeClock();
   const discounted: string[] = [];
-  const causes = createOtherCauses<EndedRun>(clock, ({ fingerprint }) => {
+  const causes = createCrashCorrelator<CrashReport>(clock, ({ fingerprint }) => {
     discounted.push(fingerprint);
   });
   return { causes, discounted, advance };
 }
 
-function createRun(fingerprint: string, server: string, crashes = 1): EndedRun {
+function createRun(fingerprint: string, server: string, crashes = 1): CrashReport {
   return { fingerprint, server, crashes };
 }
 
@@ -20,7 +20,7 @@
     const { causes, discounted, advance } = createCase();
     causes.counted(createRun('page', 'one'));
     await advance(10);
-    causes.heard(createRun('other', 'two'));
+    causes.reported(createRun('other', 'two'));
     await advance(100);
     expect(discounted).to.deep.equal(['page']);
   });
@@ -29,9 +29,9 @@
     const { causes, discounted, advance } = createCase();
     causes.counted(createRun('fatal', 'one'));
     await advance(2);
-    causes.heard(createRun('neighbour', 'two'));
+    causes.reported(createRun('neighbour', 'two'));
     await advance(5);
-    causes.heard(createRun('fatal', 'two', 2));
+    causes.reported(createRun('fatal', 'two', 2));
     await advance(100);
     expect(discounted).to.deep.equal([]);
   });
@@ -40,7 +40,7 @@
     const { causes, discounted, advance } = createCase();
     causes.counted(createRun('fatal', 'one'));
     await advance(60);
-    causes.heard(createRun('other', 'two'));
+    causes.reported(createRun('other', 'two'));
     await advance(100);
     expect(discounted).to.deep.equal([]);
   });
@@ -48,7 +48,7 @@
   it('is a request beside it under which more servers have ended', async () => {
     const { causes, discounted, advance } = createCase();
     causes.counted(createRun('page', 'one'));
-    causes.heard(createRun('fatal', 'one', 2));
+    causes.reported(createRun('fatal', 'one', 2));
     await advance(100);
     expect(discounted).to.deep.equal(['page']);
   });
--- a/test/quarantine/crash-evidence.test.ts
+++ b/test/quarantine/crash-detector.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createSilentLog } from '../../src/events/index.js';
 import type { RegisteredServer } from '../../src/fleet/index.js';
-import { createCrashEvidence, type ProbeAnswer } from '../../src/quarantine/index.js';
+import { createCrashDetector, type ProbeAnswer } from '../../src/quarantine/index.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
 const server = { id: 'server-1', address: '10.0.0.1:80' } as RegisteredServer;
@@ -11,7 +11,7 @@
   const { clock, advance, runUntil } = createFakeClock();
   const confirmed: string[] = [];
   const dialled: string[] = [];
-  const evidence = createCrashEvidence<string>({
+  const evidence = createCrashDetector<string>({
     clock,
     log: createSilentLog(),
     probe: {
@@ -69,7 +69,7 @@
         answer === 'open' ? ['open', 'open'] : [answer],
       );
       await lose('a');
-      if (gone !== undefined) evidence.gone(server.id, gone.hasSuccessor);
+      if (gone !== undefined) evidence.removed(server.id, gone.hasSuccessor);
       expect(confirmed).to.deep.equal(sign === undefined ? [] : [`a at server-1: ${sign}`]);
     });
   }
@@ -81,7 +81,7 @@
     expect(confirmed).to.deep.equal(['fatal at server-1: refused']);
     const later = createCase(['open', 'open']);
     await later.lose('reset');
-    later.evidence.gone(server.id, true);
+    later.evidence.removed(server.id, true);
     expect(later.confirmed).to.deep.equal([]);
   });
 
@@ -109,7 +109,7 @@
     const { evidence, lose, confirmed, advance } = createCase(['silent']);
     await lose('a');
     await advance(20_000);
-    evidence.gone(server.id, false);
+    evidence.removed(server.id, false);
     expect(confirmed).to.deep.equal([]);
   });
 });
--- a/test/quarantine/fingerprint.test.ts
+++ b/test/quarantine/fingerprint.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { createFingerprint, resolveOutline } from '../../src/quarantine/index.js';
+import { createFingerprint, resolvePrefix } from '../../src/quarantine/index.js';
 
 const content = {
   method: 'POST',
@@ -11,7 +11,7 @@
 describe('the fingerprint of a request', () => {
   it('is the same each time that the request comes', () => {
     const again = { ...content, host: 'Desk.example', body: Buffer.from('a body') };
-    expect(createFingerprint(again).whole()).to.equal(createFingerprint(content).whole());
+    expect(createFingerprint(again).full()).to.equal(createFingerprint(content).full());
   });
 
   it('differs with the method, the host, the path, the query and the body', () => {
@@ -23,14 +23,14 @@
       { ...content, body: Buffer.from('a Body') },
       { ...content, body: undefined },
     ];
-    const found = new Set(others.map((other) => createFingerprint(other).whole()));
-    expect([...found, createFingerprint(content).whole()]).to.have.length(others.length + 1);
+    const found = new Set(others.map((other) => createFingerprint(other).full()));
+    expect([...found, createFingerprint(content).full()]).to.have.length(others.length + 1);
   });
 
   it('begins with its outline, which needs no look at the bytes of the body', () => {
     const fingerprint = createFingerprint(content);
     const sameLength = createFingerprint({ ...content, body: Buffer.from('b body') });
-    expect(resolveOutline(fingerprint.whole())).to.equal(fingerprint.outline());
-    expect(sameLength.outline()).to.equal(fingerprint.outline());
+    expect(resolvePrefix(fingerprint.full())).to.equal(fingerprint.prefix());
+    expect(sameLength.prefix()).to.equal(fingerprint.prefix());
   });
 });
--- a/test/quarantine/records.test.ts
+++ b/test/quarantine/records.test.ts
@@ -4,7 +4,7 @@
   createCrashRecords,
   CRASHES_TO_BAN,
   MAX_RECORDS,
-  resolveFadeMs,
+  resolveDecayMs,
   type CrashRecord,
 } from '../../src/quarantine/index.js';
 
@@ -53,12 +53,12 @@
     const records = createCrashRecords();
     const record = createRecord({ crashes: CRASHES_TO_BAN });
     records.merge(record, 0);
-    const fadeMs = resolveFadeMs(record, 0);
+    const fadeMs = resolveDecayMs(record, 0);
     expect(records.find(record.fingerprint, fadeMs - 1)?.crashes).to.equal(CRASHES_TO_BAN);
     expect(records.find(record.fingerprint, fadeMs)?.crashes).to.equal(CRASHES_TO_BAN - 1);
     expect(records.merge({ ...record, at: fadeMs + 1 }, fadeMs + 1)).to.equal(true);
     expect(records.list(10 * fadeMs)).to.deep.equal([]);
-    expect(records.mayKnow('aaaaaaaa')).to.equal(false);
+    expect(records.mayContain('aaaaaaaa')).to.equal(false);
   });
 
   it('are bounded, and bans stay while others go', () => {
--- a/test/quarantine/trials.test.ts
+++ b/test/quarantine/trials.test.ts
@@ -14,28 +14,28 @@
 describe('the coordinator of trials', () => {
   it('lets one request run at a time, and another beside it', () => {
     const coordinator = createTrialCoordinator();
-    expect(coordinator.ask(createClaim('a', '1'))).to.equal(true);
-    expect(coordinator.ask(createClaim('b', '1'))).to.equal(false);
-    expect(coordinator.ask(createClaim('b', '2', 'g'))).to.equal(true);
+    expect(coordinator.request(createClaim('a', '1'))).to.equal(true);
+    expect(coordinator.request(createClaim('b', '1'))).to.equal(false);
+    expect(coordinator.request(createClaim('b', '2', 'g'))).to.equal(true);
     expect(coordinator.ended('a', '1')).to.deep.equal(createClaim('b', '1'));
     expect(coordinator.ended('a', '1')).to.equal(undefined);
   });
 
   it('names the servers at which others are tried', () => {
     const coordinator = createTrialCoordinator();
-    coordinator.ask(createClaim('a', '1'));
+    coordinator.request(createClaim('a', '1'));
     coordinator.placed('a', '1', 'server-1');
     const other = createClaim('b', '1', 'g');
-    coordinator.ask(other);
-    expect(coordinator.serversBeside(other)).to.deep.equal(['server-1']);
-    expect(coordinator.serversBeside(createClaim('a', '1'))).to.deep.equal([]);
+    coordinator.request(other);
+    expect(coordinator.serversOfOtherTrials(other)).to.deep.equal(['server-1']);
+    expect(coordinator.serversOfOtherTrials(createClaim('a', '1'))).to.deep.equal([]);
   });
 
   it('goes on to the next where the gateway of a trial is lost', () => {
     const coordinator = createTrialCoordinator();
-    coordinator.ask(createClaim('a', '1'));
-    coordinator.ask(createClaim('a', '2'));
-    coordinator.ask(createClaim('b', '1'));
+    coordinator.request(createClaim('a', '1'));
+    coordinator.request(createClaim('a', '2'));
+    coordinator.request(createClaim('b', '1'));
     expect(coordinator.lost('a')).to.deep.equal([createClaim('b', '1')]);
   });
 });
@@ -51,7 +51,7 @@
       coordinatorOf: () => coordinator,
       send: (_node, message) => sent.push(message),
       rowsOf: () => [],
-      learn: () => undefined,
+      mergeRows: () => undefined,
     });
     return { trials, sent, advance, runUntil };
   }
@@ -60,7 +60,7 @@
 
   it('is answered at once where the coordinator is here', async () => {
     const { trials } = createCase('a');
-    const answer = await trials.ask('s', 'f', signal);
+    const answer = await trials.request('s', 'f', signal);
     expect(answer.kind).to.equal('granted');
     if (answer.kind === 'granted') answer.trial.ended();
     expect(trials.size()).to.equal(0);
@@ -68,12 +68,12 @@
 
   it('does not hold a request up where the coordinator is silent', async () => {
     const { trials, runUntil } = createCase('b');
-    expect((await runUntil(trials.ask('s', 'f', signal))).kind).to.equal('granted');
+    expect((await runUntil(trials.request('s', 'f', signal))).kind).to.equal('granted');
   });
 
   it('does not hold a request up where the coordinator is lost', async () => {
     const { trials } = createCase('b');
-    const asking = trials.ask('s', 'f', signal);
+    const asking = trials.request('s', 'f', signal);
     trials.received('b', { kind: 'trial.queued', id: '1' });
     trials.lost('b');
     expect((await asking).kind).to.equal('granted');
@@ -81,7 +81,7 @@
 
   it('ends after a while behind another trial of the same request, and gives its turn back', async () => {
     const { trials, sent, runUntil } = createCase('b');
-    const asking = trials.ask('s', 'f', signal);
+    const asking = trials.request('s', 'f', signal);
     trials.received('b', { kind: 'trial.queued', id: '1' });
     expect((await runUntil(asking)).kind).to.equal('busy');
     expect(sent.at(-1)?.kind).to.equal('trial.ended');
@@ -90,7 +90,7 @@
   it('ends with the request', async () => {
     const { trials } = createCase('b');
     const giveUp = new AbortController();
-    const asking = trials.ask('s', 'f', giveUp.signal);
+    const asking = trials.request('s', 'f', giveUp.signal);
     giveUp.abort();
     expect((await asking).kind).to.equal('aborted');
     expect(trials.size()).to.equal(0);
@@ -98,7 +98,7 @@
 
   it('ends once the request is cleared', async () => {
     const { trials } = createCase('b');
-    const asking = trials.ask('s', 'f', signal);
+    const asking = trials.request('s', 'f', signal);
     trials.received('b', { kind: 'trial.queued', id: '1' });
     trials.cleared('f');
     expect((await asking).kind).to.equal('granted');
