--- a/src/quarantine/ban-rows.ts
+++ b/src/quarantine/ban-rows.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps bans on the platform, a small row each, so that gateways that all start anew know them: without them a request
- * that had ended three servers would end three more.
+ * Stores each ban as a small row on the platform, so that bans survive a restart of all gateways. Without the rows, a
+ * banned request would crash three more servers after such a restart.
  */
 import * as z from 'zod';
 import type { Log } from '../events/index.js';
@@ -10,18 +10,17 @@
 import { MAX_RECORDS } from './records.js';
 
 const PREFIX = 'bans/';
-/** Pause between two tries, in ms. */
 const RETRY_MS = 1_000;
 
 const rowSchema = z.object({
   cleared: z.number(),
   crashes: z.number(),
   discounted: z.number(),
-  /** Last crash by the time of day, in ms: only for how long a ban lasts, which seconds do not change. */
+  /** Wall-clock time of the last crash, in ms. Used only for the ban's expiry, where clock skew of seconds is harmless. */
   atMs: z.number(),
 });
 
-/** What the rows need. */
+/** Dependencies of the ban rows. */
 export interface BanRowsParts {
   table: TableService;
   clock: Clock;
@@ -29,48 +28,48 @@
   signal: AbortSignal;
   /** The time of day, in ms since the epoch. */
   timeOfDay(): number;
-  /** What is to be kept of a ban; `undefined` where there is none now. */
+  /** The row to store for a banned request; `undefined` if the request is not banned. */
   banRowOf: (fingerprint: string) => CrashRow | undefined;
   mergeRows: (rows: readonly CrashRow[]) => void;
 }
 
-/** Bans on the platform. */
+/** Bans stored on the platform. */
 export interface BanRows {
-  /** Reads all; tries until the platform answers. */
+  /** Loads all stored bans; retries until the platform answers. */
   load: () => Promise<void>;
-  /** A ban was laid or lifted here; tries until the platform has taken it in. */
+  /** Stores or deletes the row of a ban that changed at this gateway; retries until the platform commits it. */
   changed: (fingerprint: string) => void;
 }
 
 /**
- * Creates the rows.
+ * Creates the ban rows of a gateway.
  *
- * @param parts the platform, and what is known here
+ * @param parts the platform's table and the local crash records
  */
 export function createBanRows(parts: BanRowsParts): BanRows {
   const { table, clock, log, signal } = parts;
   const changing = new Set<string>();
 
-  async function repeat(step: () => Promise<boolean>): Promise<void> {
-    while (!signal.aborted && !(await step())) {
+  async function retryUntilDone(attempt: () => Promise<boolean>): Promise<void> {
+    while (!signal.aborted && !(await attempt())) {
       await wait(clock, RETRY_MS);
     }
   }
 
   async function write(fingerprint: string): Promise<boolean> {
     const key = `${PREFIX}${fingerprint}`;
-    const record = parts.banRowOf(fingerprint);
+    const row = parts.banRowOf(fingerprint);
     const outcome = await table.transact(
-      record === undefined
+      row === undefined
         ? { conditions: [], puts: [], deletes: [key] }
-        : { conditions: [], puts: [{ key, value: createValue(record) }], deletes: [] },
+        : { conditions: [], puts: [{ key, value: createValue(row) }], deletes: [] },
     );
     if (outcome.kind !== 'committed') {
       log.write('banRowFailed', { fingerprint, outcome: outcome.kind });
       return false;
     }
-    // it may have changed once more while it was written
-    return (parts.banRowOf(fingerprint) === undefined) === (record === undefined);
+    // the ban may have been set or lifted again during the write
+    return (parts.banRowOf(fingerprint) === undefined) === (row === undefined);
   }
 
   function createValue({
@@ -82,14 +81,14 @@
     return { cleared, crashes, discounted, atMs: Math.round(parts.timeOfDay() - ageMs) };
   }
 
-  async function read(): Promise<boolean> {
-    const rows = await table.range({ prefix: PREFIX, limit: MAX_RECORDS });
-    if (rows.isErr()) {
-      log.write('banRowFailed', { reason: rows.error.message });
+  async function loadRows(): Promise<boolean> {
+    const stored = await table.range({ prefix: PREFIX, limit: MAX_RECORDS });
+    if (stored.isErr()) {
+      log.write('banRowFailed', { reason: stored.error.message });
       return false;
     }
-    const records: CrashRow[] = [];
-    for (const { key, value } of rows.value) {
+    const rows: CrashRow[] = [];
+    for (const { key, value } of stored.value) {
       const parsed = rowSchema.safeParse(value);
       if (!parsed.success) {
         log.write('banRowFailed', { row: key, reason: z.prettifyError(parsed.error) });
@@ -97,15 +96,15 @@
       }
       const { atMs, ...counts } = parsed.data;
       const ageMs = Math.max(0, parts.timeOfDay() - atMs);
-      records.push({ fingerprint: key.slice(PREFIX.length), ...counts, ageMs });
+      rows.push({ fingerprint: key.slice(PREFIX.length), ...counts, ageMs });
     }
-    parts.mergeRows(records);
-    removeFaded(records);
+    parts.mergeRows(rows);
+    deleteExpired(rows);
     return true;
   }
 
-  function removeFaded(records: readonly CrashRow[]): void {
-    for (const { fingerprint } of records) {
+  function deleteExpired(rows: readonly CrashRow[]): void {
+    for (const { fingerprint } of rows) {
       if (parts.banRowOf(fingerprint) === undefined) changed(fingerprint);
     }
   }
@@ -113,10 +112,10 @@
   function changed(fingerprint: string): void {
     if (changing.has(fingerprint)) return;
     changing.add(fingerprint);
-    void repeat(() => write(fingerprint)).finally(() => {
+    void retryUntilDone(() => write(fingerprint)).finally(() => {
       changing.delete(fingerprint);
     });
   }
 
-  return { load: () => repeat(read), changed };
+  return { load: () => retryUntilDone(loadRows), changed };
 }
--- a/src/quarantine/crash-correlator.ts
+++ b/src/quarantine/crash-correlator.ts
@@ -1,79 +1,80 @@
 /**
- * What else explains the end of a server than a request that was at work there. Where another server ends at the same
- * moment, and the request was not at work there, something has ended both: an availability zone that loses its power,
- * a rack. And where a request under which more servers have ended was at work beside it, that one is the likelier cause.
+ * Finds crashes that were not caused by the request that was running. If another server crashes at the same moment
+ * without running that request, both have a common cause, such as an availability zone that loses power. If another
+ * request was running on the same server and has more crashes, it is the likelier cause.
  */
 import type { Clock } from '../task/index.js';
 
-/** Ends that come within this time of each other have one cause, in ms: the way of the news. A request that comes again
- * takes longer than that to end the next server. It is judged after as long, when it is known what was at work where:
- * judged at once, a request that ended several servers in a row discounted itself by those whose news was still to come. */
+/** Crashes within this time of each other have a common cause, in ms. It allows for the delay of peers' reports and is
+ * shorter than the time in which a repeated request crashes its next server. A crash is judged only after this time,
+ * when the reports about other servers have arrived: otherwise a request that crashed several servers in a row would
+ * be discounted by servers whose reports are still in transit. */
 const SAME_MOMENT_MS = 25;
-/** Ends are remembered for so long, in ms: until the last run that they may explain was judged, on a busy processor. */
-const MEMORY_MS = 8 * SAME_MOMENT_MS;
+/** How long crashes are kept, in ms: until the last report that they may explain was judged, on a busy processor. */
+const RETENTION_MS = 8 * SAME_MOMENT_MS;
 
-/** A request that was at work at a server that ended. */
+/** A request that was running on a server when the server crashed. */
 export interface CrashReport {
   server: string;
   fingerprint: string;
-  /** Servers that have ended under it, this one included. */
+  /** Servers that have crashed under the request, including this one. */
   crashes: number;
 }
 
-/** Ends of servers as they are heard of. */
-export interface CrashCorrelator<Run extends CrashReport> {
-  /** A server ended under a request of this gateway. */
-  counted(run: Run): void;
-  /** A server ended under a request of another gateway. */
-  reported: (run: CrashReport) => void;
+/** Correlates crashes of different servers and requests. */
+export interface CrashCorrelator<Report extends CrashReport> {
+  /** A server crashed under a request of this gateway. */
+  counted(report: Report): void;
+  /** A server crashed under a request of another gateway. */
+  reported: (report: CrashReport) => void;
 }
 
-interface End {
+interface ServerCrash {
   at: number;
-  /** Crashes of each request that was at work there. */
-  runs: Map<string, number>;
+  /** Crashes of each request that was running on the server, by fingerprint. */
+  requests: Map<string, number>;
 }
 
 /**
- * Creates a memory of no ends.
+ * Creates a correlator without crashes.
  *
  * @param clock the gateway's clock
- * @param discount hears of each request of this gateway that something else explains
+ * @param discount called for each crash of this gateway that has another cause
  */
-export function createCrashCorrelator<Run extends CrashReport>(
+export function createCrashCorrelator<Report extends CrashReport>(
   clock: Clock,
-  discount: (run: Run) => void,
-): CrashCorrelator<Run> {
-  const ends = new Map<string, End>();
+  discount: (report: Report) => void,
+): CrashCorrelator<Report> {
+  const serverCrashes = new Map<string, ServerCrash>();
 
-  function note({ server, fingerprint, crashes }: CrashReport): void {
+  function record({ server, fingerprint, crashes }: CrashReport): void {
     const now = clock.now();
-    for (const [id, { at }] of ends) {
-      if (now - at > MEMORY_MS) ends.delete(id);
+    for (const [id, { at }] of serverCrashes) {
+      if (now - at > RETENTION_MS) serverCrashes.delete(id);
     }
-    const end: End = ends.get(server) ?? { at: now, runs: new Map() };
-    ends.set(server, end);
-    end.runs.set(fingerprint, crashes);
+    const crash: ServerCrash = serverCrashes.get(server) ?? { at: now, requests: new Map() };
+    serverCrashes.set(server, crash);
+    crash.requests.set(fingerprint, crashes);
   }
 
-  function hasOtherCause(run: Run, countedAt: number): boolean {
-    for (const [server, { at, runs }] of ends) {
-      const isSame = server === run.server;
-      if (isSame && Math.max(...runs.values()) > run.crashes) return true;
-      const isAtOnce = Math.abs(at - countedAt) <= SAME_MOMENT_MS;
-      if (!isSame && isAtOnce && !runs.has(run.fingerprint)) return true;
+  function hasOtherCause(report: Report, countedAt: number): boolean {
+    for (const [server, { at, requests }] of serverCrashes) {
+      const isSameServer = server === report.server;
+      if (isSameServer && Math.max(...requests.values()) > report.crashes) return true;
+      const isSameMoment = Math.abs(at - countedAt) <= SAME_MOMENT_MS;
+      if (!isSameServer && isSameMoment && !requests.has(report.fingerprint)) return true;
     }
     return false;
   }
 
   return {
-    counted(run) {
-      note(run);
+    counted(report) {
+      record(report);
       const countedAt = clock.now();
       clock.after(SAME_MOMENT_MS, () => {
-        if (hasOtherCause(run, countedAt)) discount(run);
+        if (hasOtherCause(report, countedAt)) discount(report);
       });
     },
-    reported: note,
+    reported: record,
   };
 }
--- a/src/quarantine/crash-detector.ts
+++ b/src/quarantine/crash-detector.ts
@@ -1,104 +1,105 @@
 /**
- * Tells the end of a server from a lost answer. A cut link, a reset connection, a spoilt answer and a drain look
- * alike to the one who waits: what shows that a server has ended is that nobody listens at its address any more, that
- * another incarnation has taken its place, or that its entry lapses while nobody could reach it.
+ * Distinguishes a server crash from a lost answer. A cut link, a reset connection, a corrupt answer and a drain look
+ * alike to the gateway. A server has crashed if its address refuses connections, if another incarnation has replaced
+ * it, or if its registry entry lapses while it is unreachable.
  */
 import type { Log } from '../events/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
 import { wait, type Clock } from '../task/index.js';
 
-/** How long a lost answer waits for evidence, in ms: an entry lapses after some heartbeats of silence. */
+/** How long a lost answer waits for evidence of a crash, in ms: longer than a registry entry takes to lapse. */
 const EVIDENCE_MS = 8_000;
-/** A server that was reached is dialled once more after so long, in ms: one that is just ending may still accept. */
+/** Delay before a server that accepted the first connection is dialled again, in ms: while it shuts down it may still
+ * accept connections. */
 const RECHECK_MS = 50;
-/** Lost answers of one server that wait at most: more than a server runs at once. */
+/** Limit of lost answers that wait for evidence, per server; above the number of requests that one server runs. */
 const MAX_LOSSES = 256;
 
-/** What somebody who dials a server finds. */
+/** Result of dialling a server. */
 export type ProbeAnswer = 'open' | 'refused' | 'silent';
 
 /** Dials servers. */
 export interface ServerProbe {
   /**
-   * Dials a server and hangs up at once.
+   * Opens a connection to a server and closes it at once.
    *
    * @param address `host:port`
    */
   dial(address: string): Promise<ProbeAnswer>;
 }
 
-/** What showed that a server had ended. */
+/** Evidence that a server has crashed. */
 export type CrashSign = 'refused' | 'restarted' | 'lapsed';
 
-/** What the evidence needs. */
+/** Dependencies of the crash detector. */
 export interface CrashDetectorParts<Loss> {
   clock: Clock;
   log: Log;
   probe: ServerProbe;
-  /** A server has ended while this was at work there. */
+  /** Called for each lost answer whose server has crashed. */
   confirmed(loss: Loss, server: RegisteredServer, sign: CrashSign): void;
 }
 
-/** Collects lost answers until it is known whether their server has ended. */
+/** Collects lost answers until it is known whether their server has crashed. */
 export interface CrashDetector<Loss> {
   /**
-   * The connection to a server ended while something was at work there.
+   * Records that the connection to a server ended during a request.
    *
-   * @returns fulfilled once the server was dialled, and the loss confirmed if that showed its end
+   * @returns resolves once the server was dialled, and the loss confirmed if that showed a crash
    */
   lost(server: RegisteredServer, loss: Loss): Promise<void>;
   /**
-   * The registry has no entry of a server any more.
+   * Records that a server's entry was removed from the registry.
    *
-   * @param hasSuccessor whether another incarnation has taken its place
+   * @param hasSuccessor whether another incarnation has replaced the server
    */
   removed: (id: string, hasSuccessor: boolean) => void;
 }
 
-interface Suspicion<Loss> {
+interface SuspectedServer<Loss> {
   server: RegisteredServer;
   losses: Loss[];
   lostAt: number;
-  /** While it is dialled. */
+  /** The running check, if any. */
   dialling: Promise<void> | undefined;
-  /** What showed that it has ended. */
+  /** Set once the server is known to have crashed. */
   sign: CrashSign | undefined;
 }
 
 /**
- * Creates the collection.
+ * Creates a crash detector.
  *
- * @param parts how to look, and who hears
+ * @param parts the probe and the callback for confirmed crashes
  */
 export function createCrashDetector<Loss>(parts: CrashDetectorParts<Loss>): CrashDetector<Loss> {
   const { clock, log } = parts;
-  const suspicions = new Map<string, Suspicion<Loss>>();
+  const suspects = new Map<string, SuspectedServer<Loss>>();
 
-  function forgetOld(): void {
+  function evictExpired(): void {
     const before = clock.now() - EVIDENCE_MS;
-    for (const [id, { lostAt }] of suspicions) {
-      if (lostAt < before) suspicions.delete(id);
+    for (const [id, { lostAt }] of suspects) {
+      if (lostAt < before) suspects.delete(id);
     }
   }
 
-  function suspicionOf(server: RegisteredServer): Suspicion<Loss> {
-    const known = suspicions.get(server.id);
-    if (known !== undefined) return known;
-    const created: Suspicion<Loss> = {
+  function getOrCreateSuspect(server: RegisteredServer): SuspectedServer<Loss> {
+    const existing = suspects.get(server.id);
+    if (existing !== undefined) return existing;
+    const created: SuspectedServer<Loss> = {
       server,
       losses: [],
       lostAt: clock.now(),
       dialling: undefined,
       sign: undefined,
     };
-    suspicions.set(server.id, created);
+    suspects.set(server.id, created);
     return created;
   }
 
-  function end(suspicion: Suspicion<Loss>, sign: CrashSign): void {
-    const { server, losses } = suspicion;
-    suspicion.sign = sign;
-    suspicion.losses = [];
+  function confirmCrash(suspect: SuspectedServer<Loss>, sign: CrashSign): void {
+    const { server, losses } = suspect;
+    suspect.sign = sign;
+    suspect.losses = [];
     log.write('serverEnded', { server: server.id, sign, requests: losses.length });
     for (const loss of losses) {
       parts.confirmed(loss, server, sign);
@@ -112,41 +113,41 @@
     return parts.probe.dial(address);
   }
 
-  async function dial(suspicion: Suspicion<Loss>): Promise<void> {
-    const count = suspicion.losses.length;
-    const answer = await dialTwice(suspicion.server.address);
-    if (suspicion.sign !== undefined) return;
+  async function check(suspect: SuspectedServer<Loss>): Promise<void> {
+    const count = suspect.losses.length;
+    const answer = await dialTwice(suspect.server.address);
+    if (suspect.sign !== undefined) return;
     if (answer === 'refused') {
-      end(suspicion, 'refused');
+      confirmCrash(suspect, 'refused');
       return;
     }
-    // whose answer was lost before the server was reached has not ended it
-    const waiting = suspicion.losses.slice(count);
-    if (answer === 'open') suspicion.losses = waiting;
-    // what was lost while it was dialled may have been lost after that
-    if (waiting.length > 0) await dial(suspicion);
+    // a server that accepts connections did not crash under the requests that were lost before it was dialled
+    const lostMeanwhile = suspect.losses.slice(count);
+    if (answer === 'open') suspect.losses = lostMeanwhile;
+    // requests lost during the dial may have been lost after the server accepted it
+    if (lostMeanwhile.length > 0) await check(suspect);
   }
 
   return {
     lost(server, loss) {
-      forgetOld();
-      const suspicion = suspicionOf(server);
-      suspicion.lostAt = clock.now();
-      if (suspicion.sign !== undefined) {
-        parts.confirmed(loss, server, suspicion.sign);
+      evictExpired();
+      const suspect = getOrCreateSuspect(server);
+      suspect.lostAt = clock.now();
+      if (suspect.sign !== undefined) {
+        parts.confirmed(loss, server, suspect.sign);
         return Promise.resolve();
       }
-      if (suspicion.losses.length < MAX_LOSSES) suspicion.losses.push(loss);
-      suspicion.dialling ??= dial(suspicion).finally(() => {
-        suspicion.dialling = undefined;
+      if (suspect.losses.length < MAX_LOSSES) suspect.losses.push(loss);
+      suspect.dialling ??= check(suspect).finally(() => {
+        suspect.dialling = undefined;
       });
-      return suspicion.dialling;
+      return suspect.dialling;
     },
     removed(id, hasSuccessor) {
-      forgetOld();
-      const suspicion = suspicions.get(id);
-      if (suspicion === undefined || suspicion.sign !== undefined) return;
-      if (suspicion.losses.length > 0) end(suspicion, hasSuccessor ? 'restarted' : 'lapsed');
+      evictExpired();
+      const suspect = suspects.get(id);
+      if (suspect === undefined || suspect.sign !== undefined) return;
+      if (suspect.losses.length > 0) confirmCrash(suspect, hasSuccessor ? 'restarted' : 'lapsed');
     },
   };
 }
--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway knows of requests under which servers ended, kept alike in all gateways: it counts what it saw itself,
- * takes in what others tell, and tells what is new.
+ * Replicated crash records of one gateway. It counts the crashes seen here, merges the records of its peers, and sends
+ * changes to them, so that all gateways converge to the same records.
  */
 import type { Log } from '../events/index.js';
 import type { GatewayMetrics } from '../metrics/index.js';
@@ -8,8 +8,8 @@
 import {
   decodeCrash,
   encodeCrash,
-  toCrashRow,
   fromCrashRow,
+  toCrashRow,
   type CrashesMessage,
   type CrashRow,
 } from './messages.js';
@@ -22,143 +22,142 @@
   type CrashRecord,
 } from './records.js';
 
-/** Records that change within this time are told together, in ms: a server ends under many requests at once. */
-const GATHER_MS = 5;
-/** A peer whose table differs is sent this gateway's at most so often, in ms: news still under way settles most
- * differences by itself, and one that comes back from a cut has the table with its first heartbeat. */
-const COMPARE_MS = 2_000;
-/** Where two tables go on differing, as they do once they are full, they are compared ever more rarely, in ms. */
-const MAX_COMPARE_MS = 60_000;
+/** Changes within this time are sent in one message, in ms: many requests run on a server that crashes. */
+const BATCH_MS = 5;
+/** Interval at which all records are sent to a peer whose digest differs, in ms. Updates in transit resolve most
+ * differences. The first heartbeat of a peer that reconnects triggers it at once. */
+const SYNC_INTERVAL_MS = 2_000;
+/** Upper bound of the interval, which doubles while the digests differ, in ms: full tables may never become equal. */
+const MAX_SYNC_INTERVAL_MS = 60_000;
 
-/** What the ledger needs. */
+/** Dependencies of the crash ledger. */
 export interface CrashLedgerParts {
   clock: Clock;
   log: Log;
   metrics: Pick<GatewayMetrics, 'bans'>;
-  /** Tells all partners. */
+  /** Sends a message to all partners. */
   broadcast(message: CrashesMessage): void;
-  /** Tells one peer. */
+  /** Sends a message to one peer. */
   send(node: string, message: CrashesMessage): void;
-  /** A request was banned by what this gateway saw, or a ban of its was lifted here: to be kept, or not any more. */
+  /** A ban was set or lifted by this gateway; its stored row is out of date. */
   banChanged: (fingerprint: string) => void;
-  /** A request has come to be banned. */
+  /** A request has been banned, by any gateway. */
   banned: (fingerprint: string) => void;
-  /** A request is not suspected any more. */
+  /** A request's crash count has returned to zero. */
   cleared: (fingerprint: string) => void;
 }
 
-/** A request that no server is given any more. */
+/** A request that may not be sent to any server. */
 export interface Ban {
   fingerprint: string;
   crashes: number;
-  /** Time until it is tried once more, in ms. */
+  /** Time until the request may be tried once more, in ms. */
   leftMs: number;
 }
 
-/** What was known of a request when it was sent. */
+/** Counts of a request's record at the time it was sent. */
 export type CrashCounts = Pick<CrashRecord, 'cleared' | 'crashes' | 'discounted'>;
 
-/** A crash as it was counted. */
-interface CountedRun extends CrashReport {
+/** A crash that this gateway has counted. */
+interface CountedCrash extends CrashReport {
   countsAtSend: CrashCounts;
 }
 
-/** A request that was at work at a server that ended. */
+/** An attempt of a request that was running on a server when the server crashed. */
 export interface CrashedAttempt {
   fingerprint: string;
   server: string;
-  /** What was known of it when it was sent. */
   countsAtSend: CrashCounts;
-  /** When it was sent, on this gateway's clock in ms. */
+  /** When the attempt was sent, on this gateway's clock in ms. */
   sentAt: number;
-  /** Crashes that its own sends before this one came to. */
+  /** Crash count that the request's own earlier attempts have led to. */
   countedBefore: number;
 }
 
-/** What a gateway knows of requests under which servers ended. */
+/** Replicated crash records of one gateway. */
 export interface CrashLedger {
-  /** Whether a request of this outline may be known. */
-  mayContain: (outline: string) => boolean;
+  /** Whether a request with this fingerprint prefix may have a record. */
+  mayContain: (prefix: string) => boolean;
   find: (fingerprint: string) => CrashRecord | undefined;
-  /** Counts a server that ended; gives the crashes of the request with it. */
-  count: (run: CrashedAttempt) => number;
-  /** The request was answered. */
+  /** Counts a crash; returns the request's crash count including it. */
+  count: (attempt: CrashedAttempt) => number;
+  /** Clears the record of a request that was answered with success. */
   succeeded: (record: CrashRecord) => void;
-  /** Takes in what a peer knows, or what is kept on the platform; what is new goes on to partners. */
+  /** Merges the rows of a peer or of the platform, and sends changes on to partners. */
   mergeRows: (rows: readonly CrashRow[], source: string) => void;
   received: (node: string, message: CrashesMessage) => void;
   rowsOf: (fingerprint: string) => CrashRow[];
-  /** A number that is the same in all gateways that know the same. */
+  /** Digest of the records; equal in gateways with equal records. */
   digest: () => number;
-  /** A peer has said its number. */
+  /** A peer has sent its digest. */
   digestReceived: (node: string, digest: number) => void;
   peerLost: (node: string) => void;
   ban: (fingerprint: string) => Ban | undefined;
   bans: () => Ban[];
-  /** What is to be kept of a ban; `undefined` where there is none. */
+  /** The row to store for a banned request; `undefined` if the request is not banned. */
   banRowOf: (fingerprint: string) => CrashRow | undefined;
-  /** An operator lifts a ban, in all gateways; tells whether there was one. */
+  /** Clears a request's record in all gateways, on an operator's behalf; returns whether it had crashes. */
   lift: (fingerprint: string) => boolean;
 }
 
 /**
- * Creates a ledger without requests.
+ * Creates a ledger without records.
  *
- * @param parts the way to peers, and who hears
+ * @param parts the connections to peers, and the callbacks for changes
  */
 export function createCrashLedger(parts: CrashLedgerParts): CrashLedger {
   const { clock, log, metrics } = parts;
   const records = createCrashRecords();
-  /** What partners have not been told yet, with the server whose end changed it. */
-  const untold = new Map<string, string | undefined>();
-  const otherCauses = createCrashCorrelator<CountedRun>(clock, discount);
-  /** When a peer whose table differs is next sent this one's. */
-  const comparisons = new Map<string, { nextAt: number; pauseMs: number }>();
+  /** Changed records that were not sent yet, each with the server whose crash changed it. */
+  const unsent = new Map<string, string | undefined>();
+  const correlator = createCrashCorrelator<CountedCrash>(clock, discount);
+  /** For each peer with a different digest, when it is next sent all records. */
+  const syncs = new Map<string, { nextAt: number; pauseMs: number }>();
   let timer: Timer | undefined;
 
   function find(fingerprint: string): CrashRecord | undefined {
     return records.find(fingerprint, clock.now());
   }
 
-  function count(run: CrashedAttempt): number {
-    const { fingerprint, server, countsAtSend: known, countedBefore } = run;
-    const counted = 1 + Math.max(known.crashes, countedBefore, countUnknown(run));
+  function count(attempt: CrashedAttempt): number {
+    const { fingerprint, server, countsAtSend, countedBefore } = attempt;
+    const counted = 1 + Math.max(countsAtSend.crashes, countedBefore, countLateCrashes(attempt));
     const crashes = Math.min(CRASHES_TO_BAN, counted);
-    take({ ...known, fingerprint, crashes, at: clock.now() }, { server });
-    spread(fingerprint, server);
+    merge({ ...countsAtSend, fingerprint, crashes, at: clock.now() }, { server });
+    scheduleSend(fingerprint, server);
     if (isBan(find(fingerprint))) parts.banChanged(fingerprint);
-    otherCauses.counted({ server, fingerprint, crashes, countsAtSend: known });
+    correlator.counted({ server, fingerprint, crashes, countsAtSend });
     return counted;
   }
 
-  /** Crashes before a send that were not known here yet when it was sent. */
-  function countUnknown({ fingerprint, countsAtSend: known, sentAt }: CrashedAttempt): number {
+  /** Crashes that happened before an attempt was sent but were reported here only afterwards. */
+  function countLateCrashes({ fingerprint, countsAtSend, sentAt }: CrashedAttempt): number {
     const record = find(fingerprint);
-    if (record?.cleared !== known.cleared) return 0;
+    if (record?.cleared !== countsAtSend.cleared) return 0;
     return sentAt > record.at ? record.crashes : 0;
   }
 
-  /** Takes a count back: something else has ended the server. */
-  function discount({ fingerprint, server, countsAtSend: known }: CountedRun): void {
+  /** Reverts the count of a crash that had another cause. */
+  function discount({ fingerprint, server, countsAtSend }: CountedCrash): void {
     const record = find(fingerprint);
     if (record === undefined || record.discounted >= MAX_DISCOUNTED) return;
-    // it was cleared or discounted meanwhile
-    if (record.cleared !== known.cleared || record.crashes === 0) return;
+    // the record was cleared or discounted in the meantime
+    if (record.cleared !== countsAtSend.cleared || record.crashes === 0) return;
     const crashes = record.crashes - 1;
     const [cleared, discounted] = [record.cleared + 1, record.discounted + 1];
     const wasBanned = isBan(record);
-    take({ fingerprint, cleared, crashes, discounted, at: clock.now() }, { discounted: server });
+    merge({ fingerprint, cleared, crashes, discounted, at: clock.now() }, { discounted: server });
     if (wasBanned) parts.banChanged(fingerprint);
   }
 
-  /** Takes a record in, and acts on it where it is news. */
-  function take(record: CrashRecord, source: Record<string, string>): void {
+  /** Merges a record, and reports and sends it if that changed anything. */
+  function merge(record: CrashRecord, source: Record<string, string>): void {
     const before = find(record.fingerprint);
     if (!records.merge(record, clock.now())) return;
     const { fingerprint, cleared, crashes } = record;
     const ageMs = Math.round(clock.now() - record.at);
     log.write('crashesKnown', { fingerprint, crashes, cleared, ageMs, ...source });
-    spread(fingerprint);
+    scheduleSend(fingerprint);
     if (crashes === 0) parts.cleared(fingerprint);
     if (!isBan(record) || isBan(before)) return;
     log.write('requestBanned', {
@@ -170,33 +169,33 @@
     parts.banned(fingerprint);
   }
 
-  function spread(fingerprint: string, server?: string): void {
-    untold.set(fingerprint, server ?? untold.get(fingerprint));
-    timer ??= clock.after(GATHER_MS, () => {
+  function scheduleSend(fingerprint: string, server?: string): void {
+    unsent.set(fingerprint, server ?? unsent.get(fingerprint));
+    timer ??= clock.after(BATCH_MS, () => {
       timer = undefined;
-      tell();
+      sendChanges();
     });
   }
 
-  function tell(): void {
-    const news: CrashRow[] = [];
-    for (const [fingerprint, server] of untold) {
+  function sendChanges(): void {
+    const rows: CrashRow[] = [];
+    for (const [fingerprint, server] of unsent) {
       const record = find(fingerprint);
-      if (record !== undefined) news.push({ ...toCrashRow(record, clock.now()), server });
+      if (record !== undefined) rows.push({ ...toCrashRow(record, clock.now()), server });
     }
-    untold.clear();
-    if (news.length > 0) parts.broadcast({ kind: 'crashes', records: news.map(encodeCrash) });
+    unsent.clear();
+    if (rows.length > 0) parts.broadcast({ kind: 'crashes', records: rows.map(encodeCrash) });
   }
 
   function clear(record: CrashRecord, by: string): void {
     const { fingerprint, cleared } = record;
     const wasBanned = isBan(record);
     const at = clock.now();
-    take({ fingerprint, cleared: cleared + 1, crashes: 0, discounted: 0, at }, { by });
+    merge({ fingerprint, cleared: cleared + 1, crashes: 0, discounted: 0, at }, { by });
     if (wasBanned) parts.banChanged(fingerprint);
   }
 
-  function resolveBan(record: CrashRecord | undefined): Ban | undefined {
+  function toBan(record: CrashRecord | undefined): Ban | undefined {
     if (record === undefined || !isBan(record)) return undefined;
     const { fingerprint, crashes } = record;
     return { fingerprint, crashes, leftMs: resolveDecayMs(record, clock.now()) };
@@ -207,11 +206,11 @@
     return record === undefined ? [] : [toCrashRow(record, clock.now())];
   }
 
-  function learn(rows: readonly CrashRow[], source: string): void {
+  function mergeRows(rows: readonly CrashRow[], source: string): void {
     for (const row of rows) {
-      take(fromCrashRow(row, clock.now()), { source });
+      merge(fromCrashRow(row, clock.now()), { source });
       const { server, fingerprint, crashes } = row;
-      if (server !== undefined) otherCauses.reported({ server, fingerprint, crashes });
+      if (server !== undefined) correlator.reported({ server, fingerprint, crashes });
     }
   }
 
@@ -222,31 +221,31 @@
     succeeded(record) {
       clear(record, 'success');
     },
-    mergeRows: learn,
+    mergeRows,
     received(node, message) {
-      learn(message.records.map(decodeCrash), node);
+      mergeRows(message.records.map(decodeCrash), node);
     },
     rowsOf,
-    peerLost: (node) => comparisons.delete(node),
-    ban: (fingerprint) => resolveBan(find(fingerprint)),
+    peerLost: (node) => syncs.delete(node),
+    ban: (fingerprint) => toBan(find(fingerprint)),
     digest: records.digest,
     digestReceived(node, digest) {
       const now = clock.now();
       if (digest === records.digest()) {
-        comparisons.delete(node);
+        syncs.delete(node);
         return;
       }
-      const { nextAt, pauseMs } = comparisons.get(node) ?? { nextAt: now, pauseMs: COMPARE_MS };
+      const { nextAt, pauseMs } = syncs.get(node) ?? { nextAt: now, pauseMs: SYNC_INTERVAL_MS };
       if (now < nextAt) return;
-      const next = { nextAt: now + pauseMs, pauseMs: Math.min(MAX_COMPARE_MS, 2 * pauseMs) };
-      comparisons.set(node, next);
+      const next = { nextAt: now + pauseMs, pauseMs: Math.min(MAX_SYNC_INTERVAL_MS, 2 * pauseMs) };
+      syncs.set(node, next);
       const rows = records.list(now).map((record) => encodeCrash(toCrashRow(record, now)));
       if (rows.length > 0) parts.send(node, { kind: 'crashes', records: rows });
     },
     bans() {
       const found: Ban[] = [];
       for (const record of records.list(clock.now())) {
-        const ban = resolveBan(record);
+        const ban = toBan(record);
         if (ban !== undefined) found.push(ban);
       }
       return found;
--- a/src/quarantine/fingerprint.ts
+++ b/src/quarantine/fingerprint.ts
@@ -1,12 +1,12 @@
 /**
- * What stays the same of a request each time that it comes: its method, host, path with the query, and body. The
- * caller's id differs with each attempt, and the parts of a prompt are shared by many requests, so neither counts.
+ * Fingerprint by which a repeated request is recognised: method, host, path with query, and body. The caller's request
+ * id is left out because it differs with each attempt, and the parts of a prompt because many requests share them.
  */
 import { createHash } from 'node:crypto';
 
-/** Hexadecimal digits of an outline: two requests of different outline need no look at their bodies. */
-const OUTLINE_DIGITS = 8;
-/** Hexadecimal digits of a body's digest: 96 bits, so that nobody finds a second body for another's request. */
+/** Hexadecimal digits of the prefix. Requests with different prefixes are told apart without hashing their bodies. */
+const PREFIX_DIGITS = 8;
+/** Hexadecimal digits of the body's digest: 96 bits, so that a collision cannot be found on purpose. */
 const BODY_DIGITS = 24;
 
 /** A request's content. */
@@ -18,11 +18,11 @@
   body: Buffer | undefined;
 }
 
-/** Names a request by its content; each part is worked out when it is first asked for. */
+/** Identifies a request by its content; each part is computed on first use. */
 export interface Fingerprint {
-  /** Everything but the bytes of the body. */
+  /** Digest of everything but the bytes of the body. */
   prefix: () => string;
-  /** The outline, and a digest of the body: some 2 µs for each kilobyte of it. */
+  /** The prefix, followed by a digest of the body; takes about 2 µs per kilobyte of body. */
   full: () => string;
 }
 
@@ -33,30 +33,30 @@
  */
 export function createFingerprint(content: RequestContent): Fingerprint {
   const { method, host, path, body } = content;
-  let outlined: string | undefined;
-  let digested: string | undefined;
+  let cachedPrefix: string | undefined;
+  let cachedFull: string | undefined;
 
-  function outline(): string {
+  function prefix(): string {
     const text = `${method}\n${host.toLowerCase()}\n${path}\n${body?.length ?? 0}`;
-    outlined ??= digest(text, OUTLINE_DIGITS);
-    return outlined;
+    cachedPrefix ??= digest(text, PREFIX_DIGITS);
+    return cachedPrefix;
   }
 
-  function whole(): string {
-    digested ??= outline() + digest(body ?? '', BODY_DIGITS);
-    return digested;
+  function full(): string {
+    cachedFull ??= prefix() + digest(body ?? '', BODY_DIGITS);
+    return cachedFull;
   }
 
-  return { prefix: outline, full: whole };
+  return { prefix, full };
 }
 
 /**
- * The outline within a whole fingerprint.
+ * Returns the prefix of a full fingerprint.
  *
- * @param fingerprint as `whole` gives it
+ * @param fingerprint as returned by `Fingerprint.full`
  */
 export function resolvePrefix(fingerprint: string): string {
-  return fingerprint.slice(0, OUTLINE_DIGITS);
+  return fingerprint.slice(0, PREFIX_DIGITS);
 }
 
 function digest(content: string | Buffer, digits: number): string {
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,4 +1,4 @@
-/** Requests under which backend servers end, kept away from the servers that are left. */
+/** Quarantine of requests that crash backend servers. */
 export * from './ban-rows.js';
 export * from './crash-detector.js';
 export * from './crash-ledger.js';
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -1,5 +1,5 @@
 /**
- * What gateways tell each other of requests under which servers ended.
+ * Messages by which gateways share crash records.
  */
 import * as z from 'zod';
 import type { CrashRecord } from './records.js';
@@ -9,16 +9,16 @@
   cleared: z.number(),
   crashes: z.number(),
   discounted: z.number().default(0),
-  /** Time since the last change, in ms: clocks differ. */
+  /** Time since the last change, in ms; a relative time, because clocks differ. */
   ageMs: z.number(),
-  /** The server whose end was just counted. */
+  /** The server whose crash was just counted. */
   server: z.string().optional(),
 });
 
-/** A record as it is told and kept. */
+/** A record as it is sent and stored. */
 export type CrashRow = z.infer<typeof crashRowSchema>;
 
-/** A row as it is told, without the names of its fields: a hundred servers that end at once make 1,600 of them. */
+/** A row without field names, to keep messages small: a hundred servers that crash at once make 1,600 rows. */
 const crashTupleSchema = z.tuple([
   z.string(),
   z.number(),
@@ -35,26 +35,26 @@
   records: z.array(crashTupleSchema),
 });
 
-/** What is known of some requests. */
+/** Crash records of some requests. */
 export type CrashesMessage = z.infer<typeof crashesMessageSchema>;
 
-/** Puts a row into a message. */
+/** Encodes a row for a message. */
 export function encodeCrash(row: CrashRow): CrashTuple {
   const { fingerprint, cleared, crashes, discounted, ageMs, server } = row;
   const counts: [number, number, number] = [cleared, crashes, discounted];
-  const told: CrashTuple = [fingerprint, ...counts, Math.round(ageMs)];
-  if (server !== undefined) told.push(server);
-  return told;
+  const encoded: CrashTuple = [fingerprint, ...counts, Math.round(ageMs)];
+  if (server !== undefined) encoded.push(server);
+  return encoded;
 }
 
-/** Reads a row of a message. */
-export function decodeCrash(told: CrashTuple): CrashRow {
-  const [fingerprint, cleared, crashes, discounted, ageMs, server] = told;
+/** Decodes a row of a message. */
+export function decodeCrash(encoded: CrashTuple): CrashRow {
+  const [fingerprint, cleared, crashes, discounted, ageMs, server] = encoded;
   return { fingerprint, cleared, crashes, discounted, ageMs, server };
 }
 
 /**
- * Puts a record into a row.
+ * Converts a record to a row.
  *
  * @param record of this gateway
  * @param now this gateway's clock, in ms
@@ -64,9 +64,9 @@
 }
 
 /**
- * Reads a row.
+ * Converts a row to a record.
  *
- * @param row a peer's, or the platform's
+ * @param row from a peer or from the platform
  * @param now this gateway's clock, in ms
  */
 export function fromCrashRow(row: CrashRow, now: number): CrashRecord {
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests away from servers once servers have ended under them, in the whole fleet. Each gateway counts the
- * servers that ended while a request of its own was at work there, tells its peers, and takes in what they tell; a
- * request whose count reaches the limit is refused by all, whatever its id and wherever it comes in.
+ * Fleet-wide quarantine of requests that crash servers. Each gateway counts the servers that crashed while a request of
+ * its own was running on them, and shares the counts with its peers. A request whose count reaches the limit is refused
+ * by all gateways, whatever its request id.
  */
 import type { Log } from '../events/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
@@ -11,16 +11,16 @@
 import {
   createCrashLedger,
   type Ban,
+  type CrashCounts,
   type CrashLedger,
   type CrashLedgerParts,
-  type CrashCounts,
 } from './crash-ledger.js';
 import type { Fingerprint } from './fingerprint.js';
 import type { CrashesMessage } from './messages.js';
 import type { CrashRecord } from './records.js';
 import { createTrials, type Trial, type TrialMessage } from './trials.js';
 
-/** What the quarantine needs. */
+/** Dependencies of the quarantine. */
 export interface QuarantineParts extends Pick<CrashLedgerParts, 'broadcast' | 'banChanged'> {
   clock: Clock;
   log: Log;
@@ -29,13 +29,13 @@
   node: string;
   /** The gateway that coordinates a service's trials. */
   coordinatorOf(service: string): string;
-  /** Tells one peer. */
+  /** Sends a message to one peer. */
   send(node: string, message: CrashesMessage | TrialMessage): void;
 }
 
-/** One send of a request, or one reading of its prompt. */
+/** One attempt of a request at a server, or the prefill of its prompt there. */
 export interface WatchedAttempt {
-  /** The server's answer was lost; fulfilled once it was looked whether the server has ended. */
+  /** The server's answer was lost; resolves once it was checked whether the server has crashed. */
   lost(): Promise<void>;
 }
 
@@ -44,67 +44,67 @@
 
 /** A request at this gateway. */
 export interface WatchedRequest {
-  /** Why no server may be given it, if so. */
+  /** The request's ban, if it is banned. */
   ban(): Ban | undefined;
-  /** Waits for its turn, if a server has ended under it. */
+  /** Waits for a trial if servers have crashed under the request. */
   admit(signal: AbortSignal): Promise<Admission>;
-  /** Servers that are left to others under which servers ended, where there is another one. */
+  /** Servers that run other requests on trial; to be used only if there is no other server. */
   serversToAvoid(): readonly string[];
-  /** It goes to a server. */
+  /** The request is sent to a server. */
   sent: (server: RegisteredServer) => WatchedAttempt;
-  /** A server has answered it whole and with success. */
+  /** A server has answered completely and with success. */
   succeeded(): void;
-  /** It has ended. */
+  /** The request has ended. */
   ended: () => void;
 }
 
-/** Requests under which servers ended. */
+/** Quarantine of requests that crash servers. */
 export interface Quarantine extends Pick<
   CrashLedger,
   'mergeRows' | 'digest' | 'digestReceived' | 'bans' | 'banRowOf' | 'lift'
 > {
   /**
-   * A request for a service has come.
+   * Tracks a request from its arrival to its end.
    *
-   * @param banned called when it is banned while it is here
+   * @param banned called if the request is banned while it is at this gateway
    */
   watch(fingerprint: Fingerprint, service: string, banned: () => void): WatchedRequest;
-  /** The registry has no entry of a server any more. */
+  /** A server's entry was removed from the registry. */
   serverRemoved: (id: string, hasSuccessor: boolean) => void;
   received: (node: string, message: CrashesMessage | TrialMessage) => void;
-  /** A peer was lost. */
   peerLost: (node: string) => void;
 }
 
-/** A send whose answer was lost. */
-interface Loss {
+/** An attempt whose answer was lost. */
+interface LostAttempt {
   fingerprint: Fingerprint;
-  known: CrashCounts;
+  countsAtSend: CrashCounts;
   sentAt: number;
-  /** The last loss of the same request before this send: it may be counted only after it. */
-  before: Loss | undefined;
+  /** The request's last lost attempt before this one was sent; it may be counted only after this one was sent. */
+  previous: LostAttempt | undefined;
+  /** The request's crash count including this attempt; 0 while no crash is confirmed. */
   counted: number;
 }
 
-const nothingKnown: CrashCounts = { cleared: 0, crashes: 0, discounted: 0 };
+const noCrashes: CrashCounts = { cleared: 0, crashes: 0, discounted: 0 };
 
 /**
- * Creates a quarantine that knows of no request.
+ * Creates a quarantine without crash records.
  *
- * @param parts the way to servers and peers
+ * @param parts the connections to servers and peers
  */
 export function createQuarantine(parts: QuarantineParts): Quarantine {
   const { clock, log, metrics } = parts;
-  /** Requests that are here, with what stops each. */
-  const present = new Map<Fingerprint, () => void>();
+  /** Requests at this gateway, each with its ban callback. */
+  const requests = new Map<Fingerprint, () => void>();
   const ledger = createCrashLedger({
     ...parts,
-    banned: stopPresent,
+    banned: stopRequests,
     cleared(fingerprint) {
       trials.cleared(fingerprint);
     },
   });
-  const evidence = createCrashDetector<Loss>({
+  const detector = createCrashDetector<LostAttempt>({
     clock,
     log,
     probe: parts.probe,
@@ -122,41 +122,41 @@
     mergeRows: ledger.mergeRows,
   });
 
-  /** Bodies are looked at only where a request of the same outline is known. */
+  /** Hashes the body only if there is a record with the same prefix. */
   function find(fingerprint: Fingerprint): CrashRecord | undefined {
     return ledger.mayContain(fingerprint.prefix()) ? ledger.find(fingerprint.full()) : undefined;
   }
 
-  function count(loss: Loss, server: RegisteredServer, sign: CrashSign): void {
-    const { known, sentAt, before } = loss;
+  function count(attempt: LostAttempt, server: RegisteredServer, sign: CrashSign): void {
+    const { countsAtSend, sentAt, previous } = attempt;
     metrics.crashesCounted.inc({ sign });
-    loss.counted = ledger.count({
-      fingerprint: loss.fingerprint.full(),
+    attempt.counted = ledger.count({
+      fingerprint: attempt.fingerprint.full(),
       server: server.id,
-      countsAtSend: known,
+      countsAtSend,
       sentAt,
-      countedBefore: before?.counted ?? 0,
+      countedBefore: previous?.counted ?? 0,
     });
   }
 
-  /** What waits here, or is under way, is not to end another server. */
-  function stopPresent(whole: string): void {
-    for (const [fingerprint, banned] of [...present]) {
-      if (find(fingerprint)?.fingerprint === whole) banned();
+  /** Stops the queued and running requests with a fingerprint that was just banned. */
+  function stopRequests(full: string): void {
+    for (const [fingerprint, banned] of [...requests]) {
+      if (find(fingerprint)?.fingerprint === full) banned();
     }
   }
 
   function watch(fingerprint: Fingerprint, service: string, banned: () => void): WatchedRequest {
-    let last: Loss | undefined;
-    let looking: Promise<void> = Promise.resolve();
+    let lastLost: LostAttempt | undefined;
+    let crashCheck: Promise<void> = Promise.resolve();
     let trial: Trial | undefined;
-    present.set(fingerprint, banned);
+    requests.set(fingerprint, banned);
 
     async function admit(signal: AbortSignal): Promise<Admission> {
       if (signal.aborted) return 'aborted';
-      const known = find(fingerprint);
-      if (trial !== undefined || known === undefined || known.crashes === 0) return 'admitted';
-      const answer = await trials.request(service, known.fingerprint, signal);
+      const record = find(fingerprint);
+      if (trial !== undefined || record === undefined || record.crashes === 0) return 'admitted';
+      const answer = await trials.requestTrial(service, record.fingerprint, signal);
       if (answer.kind !== 'granted') return answer.kind;
       ({ trial } = answer);
       return 'admitted';
@@ -164,38 +164,38 @@
 
     return {
       ban() {
-        const known = find(fingerprint);
-        return known === undefined ? undefined : ledger.ban(known.fingerprint);
+        const record = find(fingerprint);
+        return record === undefined ? undefined : ledger.ban(record.fingerprint);
       },
       admit,
       serversToAvoid: () => trial?.serversToAvoid ?? [],
       sent(server) {
-        const { cleared, crashes, discounted } = find(fingerprint) ?? nothingKnown;
-        const before = last;
+        const { cleared, crashes, discounted } = find(fingerprint) ?? noCrashes;
+        const previous = lastLost;
         const sentAt = clock.now();
         trial?.placed(server.id);
         return {
           lost() {
-            last = {
+            lastLost = {
               fingerprint,
-              known: { cleared, crashes, discounted },
+              countsAtSend: { cleared, crashes, discounted },
               sentAt,
-              before,
+              previous,
               counted: 0,
             };
-            looking = evidence.lost(server, last);
-            return looking;
+            crashCheck = detector.lost(server, lastLost);
+            return crashCheck;
           },
         };
       },
       succeeded() {
-        const known = find(fingerprint);
-        if (known !== undefined && known.crashes > 0) ledger.succeeded(known);
+        const record = find(fingerprint);
+        if (record !== undefined && record.crashes > 0) ledger.succeeded(record);
       },
       ended() {
-        present.delete(fingerprint);
-        // whoever is tried next is to know what this trial has shown
-        if (trial !== undefined) void looking.then(trial.ended);
+        requests.delete(fingerprint);
+        // the next trial must start only after the result of this one is counted
+        if (trial !== undefined) void crashCheck.then(trial.ended);
       },
     };
   }
@@ -203,7 +203,7 @@
   return {
     ...ledger,
     watch,
-    serverRemoved: evidence.removed,
+    serverRemoved: detector.removed,
     received(node, message) {
       if (message.kind === 'crashes') ledger.received(node, message);
       else trials.received(node, message);
--- a/src/quarantine/records.ts
+++ b/src/quarantine/records.ts
@@ -1,102 +1,101 @@
 /**
- * How often servers have ended under which requests: a bounded table that all gateways keep alike. Records merge in
- * any order and any number of times to the same result, so nothing has to be agreed on.
+ * Bounded table of crash counts by request. Records merge commutatively and idempotently, so all gateways converge
+ * without agreement.
  *
- * A crash counts one more than those before the request was sent. So servers that end at one moment, as when
- * an availability zone loses its power, count once for a page that is asked for everywhere, while a request that is
- * sent again after its crash was known counts again. A success of the same request sets its count to zero.
+ * A crash sets the count to one more than the count when the request was sent. So servers that crash at one moment, as
+ * when an availability zone loses power, count once for a page that is requested everywhere, while a request that is
+ * repeated after its crash was known counts again. A success of the request resets its count to zero.
  */
 import { hashName } from '../gossip/index.js';
 import { resolvePrefix } from './fingerprint.js';
 
-/** Crashes, each sent after the one before was known, after which a request is banned: a second may be chance where servers
- * end often, and each further one takes the answers of all who are served beside it. */
+/** Crash count at which a request is banned. Two crashes may be chance; each further one costs the answers of all
+ * requests on the server. */
 export const CRASHES_TO_BAN = 3;
-/** A count falls by one after so long without another crash, in ms: callers that repeat a request give up or have
- * mended it by then, and a ban that was wrong does not last. What still ends servers ends one each time. */
-const FADE_MS = 15 * 60_000;
-/** Records at most, each of some 100 bytes on its way: the requests at work at sixteen servers. It takes the end of a
- * server to get in. */
+/** Time without another crash after which a count falls by one, in ms. A banned request may then be
+ * tried once more, so that a wrong ban does not last. */
+const DECAY_MS = 15 * 60_000;
+/** Maximum number of records; each takes about 100 bytes in a message. */
 export const MAX_RECORDS = 256;
-/** Records that had to make room and are remembered as such, as long as peers may still tell of them. Otherwise two full
- * tables send each other's evicted records to and fro, 770 MB a gateway after a hundred servers had ended (60 gateways
- * in virtual time). */
+/** Maximum number of evicted records that are remembered for as long as peers may still send them. Otherwise gateways
+ * with full tables send each other's evicted records back and forth without end. */
 const MAX_EVICTED = 8 * MAX_RECORDS;
-/** So many crashes of a request are discounted at most: two that always come together would discount each other. */
+/** Maximum number of discounted crashes per request: two requests that always run together would discount each other. */
 export const MAX_DISCOUNTED = 2;
-/** Two gateways' times of the same crash differ by the way between them; only a greater difference is news, in ms. */
+/** Times of the same crash differ between gateways by the message delay; only a greater difference counts as a change,
+ * in ms. */
 const SAME_MOMENT_MS = 1_500;
 
-/** What is known of one request. */
+/** Crash counts of one request. */
 export interface CrashRecord {
-  /** As `Fingerprint.whole` gives it. */
+  /** As returned by `Fingerprint.full`. */
   fingerprint: string;
-  /** How often a success or an operator has cleared it: what was counted before holds no more. */
+  /** Number of times that the count was cleared or discounted. A higher number supersedes all lower ones. */
   cleared: number;
-  /** Crashes counted since then. */
+  /** Crashes counted since the last clearing. */
   crashes: number;
-  /** Crashes that were not counted, since something else explained them. */
+  /** Crashes that were not counted because they had another cause. */
   discounted: number;
-  /** Last change, on this gateway's clock in ms. */
+  /** Time of the last change, on this gateway's clock in ms. */
   at: number;
 }
 
-/** The table of one gateway. */
+/** Crash records of one gateway. */
 export interface CrashRecords {
-  /** Whether a request of this outline may be in the table. */
-  mayContain: (outline: string) => boolean;
-  /** What is known of a request by now; `undefined` for nothing. */
+  /** Whether a request with this fingerprint prefix may have a record. */
+  mayContain: (prefix: string) => boolean;
+  /** A request's record after decay; `undefined` if there is none. */
   find(fingerprint: string, now: number): CrashRecord | undefined;
-  /** Takes a record in; tells whether it is news. */
+  /** Merges a record; returns whether it changed the table. */
   merge(record: CrashRecord, now: number): boolean;
-  /** All that is known by now. */
+  /** All records after decay. */
   list(now: number): CrashRecord[];
-  /** A number that is the same in all gateways that know the same; 0 where nothing is known. */
+  /** Digest of the records; equal in gateways with equal records, and 0 without records. */
   digest: () => number;
 }
 
 /** Time until the count of a record falls by one, in ms. */
 export function resolveDecayMs({ at }: CrashRecord, now: number): number {
-  return Math.max(0, at + FADE_MS - now);
+  return Math.max(0, at + DECAY_MS - now);
 }
 
 /** Creates an empty table. */
 export function createCrashRecords(): CrashRecords {
   const records = new Map<string, CrashRecord>();
-  const outlines = new Map<string, number>();
-  /** The oldest first. */
+  const prefixCounts = new Map<string, number>();
+  /** In the order of eviction. */
   const evicted = new Map<string, CrashRecord>();
   let digest: number | undefined;
 
   function put(record: CrashRecord): void {
     remove(record.fingerprint);
     records.set(record.fingerprint, record);
-    const outline = resolvePrefix(record.fingerprint);
-    outlines.set(outline, (outlines.get(outline) ?? 0) + 1);
+    const prefix = resolvePrefix(record.fingerprint);
+    prefixCounts.set(prefix, (prefixCounts.get(prefix) ?? 0) + 1);
     digest = undefined;
   }
 
   function remove(fingerprint: string): void {
     if (!records.delete(fingerprint)) return;
-    const outline = resolvePrefix(fingerprint);
-    const left = (outlines.get(outline) ?? 0) - 1;
-    if (left > 0) outlines.set(outline, left);
-    else outlines.delete(outline);
+    const prefix = resolvePrefix(fingerprint);
+    const left = (prefixCounts.get(prefix) ?? 0) - 1;
+    if (left > 0) prefixCounts.set(prefix, left);
+    else prefixCounts.delete(prefix);
     digest = undefined;
   }
 
   function find(fingerprint: string, now: number): CrashRecord | undefined {
     const record = records.get(fingerprint);
     if (record === undefined) return undefined;
-    const faded = fade(record, now);
-    if (faded === record) return record;
-    if (faded === undefined) remove(fingerprint);
-    else put(faded);
-    return faded;
+    const decayed = decay(record, now);
+    if (decayed === record) return record;
+    if (decayed === undefined) remove(fingerprint);
+    else put(decayed);
+    return decayed;
   }
 
-  /** The least telling record goes first, and of equals the oldest. */
-  function makeRoom(): void {
+  /** Evicts the record with the fewest crashes, and of equals the oldest. */
+  function evictLeast(): void {
     let least: CrashRecord | undefined;
     for (const record of records.values()) {
       if (least === undefined || compareWeight(record, least) < 0) least = record;
@@ -110,17 +109,17 @@
   }
 
   return {
-    mayContain: (outline) => outlines.has(outline),
+    mayContain: (prefix) => prefixCounts.has(prefix),
     find,
     merge(record, now) {
-      const taken = fade(record, now);
-      if (taken === undefined) return false;
-      const known = find(taken.fingerprint, now) ?? evicted.get(taken.fingerprint);
-      if (known !== undefined && !isNewer(taken, known)) return false;
-      evicted.delete(taken.fingerprint);
-      put(taken);
-      if (records.size > MAX_RECORDS) makeRoom();
-      return records.has(taken.fingerprint);
+      const decayed = decay(record, now);
+      if (decayed === undefined) return false;
+      const known = find(decayed.fingerprint, now) ?? evicted.get(decayed.fingerprint);
+      if (known !== undefined && !isNewer(decayed, known)) return false;
+      evicted.delete(decayed.fingerprint);
+      put(decayed);
+      if (records.size > MAX_RECORDS) evictLeast();
+      return records.has(decayed.fingerprint);
     },
     list(now) {
       const found: CrashRecord[] = [];
@@ -137,13 +136,13 @@
   };
 }
 
-/** The record as it counts by now. One that was cleared is remembered too, so that what was counted before does not
- * come back from a peer. */
-function fade(record: CrashRecord, now: number): CrashRecord | undefined {
-  const steps = Math.floor((now - record.at) / FADE_MS);
+/** The record after decay. A cleared record is kept for the same time, so that an older count does not come back from a
+ * peer. */
+function decay(record: CrashRecord, now: number): CrashRecord | undefined {
+  const steps = Math.floor((now - record.at) / DECAY_MS);
   if (steps <= 0) return record;
   const crashes = record.crashes - steps;
-  return crashes > 0 ? { ...record, crashes, at: record.at + steps * FADE_MS } : undefined;
+  return crashes > 0 ? { ...record, crashes, at: record.at + steps * DECAY_MS } : undefined;
 }
 
 function isNewer(record: CrashRecord, known: CrashRecord): boolean {
--- a/src/quarantine/tcp-probe.ts
+++ b/src/quarantine/tcp-probe.ts
@@ -4,10 +4,10 @@
 import { connect } from 'node:net';
 import type { ProbeAnswer, ServerProbe } from './crash-detector.js';
 
-/** How long a server may take to accept a connection, in ms: within a region it takes a few. */
+/** Timeout of a connection attempt, in ms. */
 const DIAL_TIMEOUT_MS = 250;
 
-/** Creates a probe. */
+/** Creates a TCP probe. */
 export function createTcpProbe(): ServerProbe {
   return { dial };
 }
@@ -17,21 +17,21 @@
   return new Promise((resolve) => {
     const socket = connect({ host, port: Number(port) });
 
-    function settle(answer: ProbeAnswer): void {
+    function finish(answer: ProbeAnswer): void {
       clearTimeout(timer);
       resolve(answer);
       socket.destroy();
     }
 
     const timer = setTimeout(() => {
-      settle('silent');
+      finish('silent');
     }, DIAL_TIMEOUT_MS);
     socket.once('connect', () => {
-      settle('open');
+      finish('open');
     });
-    // any other error says nothing of the server: the way to it may be cut
+    // other errors say nothing about the server: the network path may be cut
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      settle(error.code === 'ECONNREFUSED' ? 'refused' : 'silent');
+      finish(error.code === 'ECONNREFUSED' ? 'refused' : 'silent');
     });
   });
 }
--- a/src/quarantine/trial-coordinator.ts
+++ b/src/quarantine/trial-coordinator.ts
@@ -1,59 +1,61 @@
 /**
- * Lets requests under which a server has ended run one at a time. One gateway of the fleet coordinates the trials of a
- * service; it knows which of its suspected requests run, and where, so that no two of them share a server while there
- * is another: of two that share one, its end would count against both.
+ * Serializes trials: requests under which a server has crashed run one at a time. One gateway of the fleet coordinates
+ * the trials of a service. It tracks where they run, so that different suspected requests use different servers where
+ * possible: a crash of a shared server would count against all of them.
  */
 
-/** Where a trial was asked for. */
+/** A gateway's request for a trial. */
 export interface TrialRequest {
-  /** The gateway that asked. */
+  /** The requesting gateway. */
   node: string;
-  /** Names the trial at that gateway. */
+  /** Unique at that gateway. */
   id: string;
   service: string;
-  /** The request. */
+  /** Fingerprint of the suspected request. */
   fingerprint: string;
 }
 
-/** The trials of the services that this gateway coordinates. */
+/** Coordinates the trials of services. */
 export interface TrialCoordinator {
-  /** Asks for a trial; tells whether it may begin now. Otherwise it waits for the one before it. */
-  request(claim: TrialRequest): boolean;
-  /** A trial runs at a server. */
+  /** Requests a trial; returns whether it may start now. Otherwise it is queued behind the running trial. */
+  enqueue(request: TrialRequest): boolean;
+  /** A trial was placed on a server. */
   placed(node: string, id: string, server: string): void;
-  /** A trial is over, or is not wanted any more. Gives the one that may begin now. */
+  /** A trial has ended or was cancelled. Returns the one that may start now. */
   ended(node: string, id: string): TrialRequest | undefined;
-  /** A gateway is lost, and its trials with it. Gives those that may begin now. */
+  /** A gateway and its trials are lost. Returns the trials that may start now. */
   lost(node: string): TrialRequest[];
-  /** Servers at which other trials of the service run. */
-  serversOfOtherTrials(claim: TrialRequest): string[];
+  /** Servers on which other trials of the service run. */
+  serversOfOtherTrials(request: TrialRequest): string[];
 }
 
-interface Trial {
-  claim: TrialRequest;
+interface TrialState {
+  request: TrialRequest;
   isRunning: boolean;
   server: string | undefined;
 }
 
 /** Creates a coordinator without trials. */
 export function createTrialCoordinator(): TrialCoordinator {
-  /** In the order in which they were asked for. */
-  const trials = new Map<string, Trial>();
+  /** In the order of their requests. */
+  const trials = new Map<string, TrialState>();
 
-  function isTaken({ service, fingerprint }: TrialRequest): boolean {
-    for (const { claim, isRunning } of trials.values()) {
-      if (isRunning && claim.fingerprint === fingerprint && claim.service === service) return true;
+  function isOnTrial({ service, fingerprint }: TrialRequest): boolean {
+    for (const { request, isRunning } of trials.values()) {
+      if (isRunning && request.fingerprint === fingerprint && request.service === service)
+        return true;
     }
     return false;
   }
 
-  function startNext(over: TrialRequest): TrialRequest | undefined {
-    if (isTaken(over)) return undefined;
+  function startNext(previous: TrialRequest): TrialRequest | undefined {
+    if (isOnTrial(previous)) return undefined;
     for (const trial of trials.values()) {
-      const { claim } = trial;
-      if (claim.fingerprint !== over.fingerprint || claim.service !== over.service) continue;
+      const { request } = trial;
+      if (request.fingerprint !== previous.fingerprint || request.service !== previous.service)
+        continue;
       trial.isRunning = true;
-      return claim;
+      return request;
     }
     return undefined;
   }
@@ -62,13 +64,13 @@
     const trial = trials.get(resolveKey(node, id));
     if (trial === undefined) return undefined;
     trials.delete(resolveKey(node, id));
-    return startNext(trial.claim);
+    return startNext(trial.request);
   }
 
   return {
-    request(claim) {
-      const isRunning = !isTaken(claim);
-      trials.set(resolveKey(claim.node, claim.id), { claim, isRunning, server: undefined });
+    enqueue(request) {
+      const isRunning = !isOnTrial(request);
+      trials.set(resolveKey(request.node, request.id), { request, isRunning, server: undefined });
       return isRunning;
     },
     placed(node, id, server) {
@@ -78,18 +80,18 @@
     ended,
     lost(node) {
       const next: TrialRequest[] = [];
-      for (const { claim } of [...trials.values()]) {
-        if (claim.node !== node) continue;
-        const started = ended(node, claim.id);
+      for (const { request } of [...trials.values()]) {
+        if (request.node !== node) continue;
+        const started = ended(node, request.id);
         if (started !== undefined && started.node !== node) next.push(started);
       }
       return next;
     },
     serversOfOtherTrials({ service, node, id }) {
       const found = new Set<string>();
-      for (const { claim, server } of trials.values()) {
-        const isOwn = claim.node === node && claim.id === id;
-        if (server !== undefined && claim.service === service && !isOwn) found.add(server);
+      for (const { request, server } of trials.values()) {
+        const isOwn = request.node === node && request.id === id;
+        if (server !== undefined && request.service === service && !isOwn) found.add(server);
       }
       return [...found];
     },
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -1,7 +1,7 @@
 /**
- * Asks for trials of requests under which a server has ended, at the gateway that coordinates those of their service,
- * and coordinates those of the services that fall to this one. Nothing is agreed on: where the coordinator is silent,
- * the request runs all the same, as one more among the few.
+ * Requests trials of suspected requests from the gateway that coordinates their service, and coordinates the trials of
+ * the services assigned to this gateway. Trials are best effort: if the coordinator does not answer, the request runs
+ * without waiting.
  */
 import { match } from 'ts-pattern';
 import * as z from 'zod';
@@ -10,14 +10,14 @@
 import { crashRowSchema, type CrashRow } from './messages.js';
 import { createTrialCoordinator, type TrialRequest } from './trial-coordinator.js';
 
-/** How long the coordinator may take to answer, in ms: some ways there and back, and its processor's turn. */
-const SILENCE_MS = 60;
-/** How long a request waits behind another trial of the same, in ms: a caller that waits for longer is told to come
- * back, by when the trial has shown what the request does. */
-const WAIT_MS = 500;
+/** Timeout of the coordinator's answer, in ms. */
+const COORDINATOR_TIMEOUT_MS = 60;
+/** How long a request is queued behind another trial of the same request, in ms; after that its caller is told to
+ * retry. */
+const MAX_QUEUED_MS = 500;
 
 const idField = { id: z.string() };
-/** What is known of the request by now, which may not have come by another way yet. */
+/** Current records of the request, which may not have reached the receiver otherwise yet. */
 const knownField = { known: z.array(crashRowSchema) };
 
 export const trialMessageSchemas = [
@@ -27,40 +27,40 @@
     service: z.string(),
     fingerprint: z.string(),
   }),
-  /** Another trial of the same request comes first. */
+  /** Another trial of the same request is running. */
   z.object({ kind: z.literal('trial.queued'), ...idField }),
   z.object({
     kind: z.literal('trial.granted'),
     ...idField,
     ...knownField,
-    /** Servers at which others are tried. */
+    /** Servers on which other requests are on trial. */
     beside: z.array(z.string()),
   }),
   z.object({ kind: z.literal('trial.placed'), ...idField, server: z.string() }),
   z.object({ kind: z.literal('trial.ended'), ...idField, ...knownField }),
 ] as const;
 
-/** What gateways say to each other of trials. */
+/** Messages between gateways about trials. */
 export type TrialMessage = z.infer<(typeof trialMessageSchemas)[number]>;
 
-/** What came of asking for a trial. */
+/** Outcome of a request for a trial. */
 export type TrialAnswer =
   | { kind: 'granted'; trial: Trial }
-  /** The same request is on trial elsewhere, and goes on being so. */
+  /** The same request was on trial elsewhere for as long as this one could wait. */
   | { kind: 'busy' }
   | { kind: 'aborted' };
 
-/** A trial that was granted. */
+/** A granted trial. */
 export interface Trial {
-  /** Servers that are left to other trials where there is another one. */
+  /** Servers that run other trials; to be used only if there is no other server. */
   serversToAvoid: readonly string[];
-  /** The request goes to a server. */
+  /** The request is sent to a server. */
   placed(server: string): void;
-  /** The request has ended, and what that showed is known. */
+  /** The request has ended, and a crash during it has been counted. */
   ended: () => void;
 }
 
-/** What trials need. */
+/** Dependencies of the trials. */
 export interface TrialsParts {
   clock: Clock;
   log: Log;
@@ -68,75 +68,86 @@
   /** The gateway that coordinates the trials of a service. */
   coordinatorOf(service: string): string;
   send(node: string, message: TrialMessage): void;
-  /** What is known of a request. */
+  /** Records of a request. */
   rowsOf(fingerprint: string): CrashRow[];
   mergeRows(rows: readonly CrashRow[], source: string): void;
 }
 
-/** Trials of requests. */
+/** Trials of suspected requests. */
 export interface Trials {
-  request(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer>;
-  /** A request is not suspected any more: what waits for its trial may run. */
+  requestTrial(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer>;
+  /** A request's record was cleared: its queued trials may start at once. */
   cleared(fingerprint: string): void;
   received: (node: string, message: TrialMessage) => void;
   lost: (node: string) => void;
-  /** Requests that wait for a trial or are on one. */
+  /** Number of requests that are queued or on trial. */
   size(): number;
 }
 
-interface Asked {
-  claim: TrialRequest;
-  /** The gateway that was asked. */
-  at: string;
-  settle: (answer: 'granted' | 'busy' | 'aborted', beside?: readonly string[]) => void;
-  /** The coordinator has answered that it has the claim. */
-  noteQueued: () => void;
+interface PendingTrial {
+  request: TrialRequest;
+  coordinatorNode: string;
+  settle: (answer: 'granted' | 'busy' | 'aborted', serversToAvoid?: readonly string[]) => void;
+  /** The coordinator has queued the request. */
+  queued: () => void;
 }
 
 /**
  * Creates the trials of a gateway.
  *
- * @param parts the way to the coordinators
+ * @param parts the connections to coordinators and the local crash records
  */
 export function createTrials(parts: TrialsParts): Trials {
   const { clock, log, node } = parts;
   const coordinator = createTrialCoordinator();
-  const asked = new Map<string, Asked>();
+  const pending = new Map<string, PendingTrial>();
   let counter = 0;
 
-  function tell(to: string, message: TrialMessage): void {
+  function send(to: string, message: TrialMessage): void {
     if (to === node) received(node, message);
     else parts.send(to, message);
   }
 
-  function grant(claim: TrialRequest): void {
-    const beside = coordinator.serversOfOtherTrials(claim);
-    const known = parts.rowsOf(claim.fingerprint);
-    tell(claim.node, { kind: 'trial.granted', id: claim.id, known, beside });
+  function grant(request: TrialRequest): void {
+    const beside = coordinator.serversOfOtherTrials(request);
+    const known = parts.rowsOf(request.fingerprint);
+    send(request.node, { kind: 'trial.granted', id: request.id, known, beside });
   }
 
-  function ask(service: string, fingerprint: string, signal: AbortSignal): Promise<TrialAnswer> {
+  function requestTrial(
+    service: string,
+    fingerprint: string,
+    signal: AbortSignal,
+  ): Promise<TrialAnswer> {
     counter += 1;
-    const claim: TrialRequest = { node, id: String(counter), service, fingerprint };
-    const at = parts.coordinatorOf(service);
+    const request: TrialRequest = { node, id: String(counter), service, fingerprint };
+    const coordinatorNode = parts.coordinatorOf(service);
     return new Promise((resolve) => {
       let timer: Timer | undefined;
       let isSettled = false;
 
       function settle(
         answer: 'granted' | 'busy' | 'aborted',
-        beside: readonly string[] = [],
+        serversToAvoid: readonly string[] = [],
       ): void {
         if (isSettled) return;
         isSettled = true;
         timer?.cancel();
         signal.removeEventListener('abort', abort);
-        log.write('trialAnswered', { fingerprint, at, answer, beside: beside.length });
+        log.write('trialAnswered', {
+          fingerprint,
+          at: coordinatorNode,
+          answer,
+          beside: serversToAvoid.length,
+        });
         if (answer === 'granted') {
-          resolve({ kind: 'granted', trial: createTrial(claim, at, beside) });
+          resolve({
+            kind: 'granted',
+            trial: createTrial(request, coordinatorNode, serversToAvoid),
+          });
           return;
         }
-        end(claim, at);
+        end(request, coordinatorNode);
         resolve({ kind: answer });
       }
 
@@ -144,47 +155,51 @@
         settle('aborted');
       }
 
-      function noteQueued(): void {
+      function queued(): void {
         if (isSettled) return;
         timer?.cancel();
-        timer = clock.after(WAIT_MS, () => {
+        timer = clock.after(MAX_QUEUED_MS, () => {
           settle('busy');
         });
       }
 
-      asked.set(claim.id, { claim, at, settle, noteQueued });
+      pending.set(request.id, { request, coordinatorNode, settle, queued });
       signal.addEventListener('abort', abort);
-      timer = clock.after(SILENCE_MS, () => {
+      timer = clock.after(COORDINATOR_TIMEOUT_MS, () => {
         settle('granted');
       });
-      tell(at, { kind: 'trial.ask', id: claim.id, service, fingerprint });
+      send(coordinatorNode, { kind: 'trial.ask', id: request.id, service, fingerprint });
     });
   }
 
-  function createTrial(claim: TrialRequest, at: string, beside: readonly string[]): Trial {
+  function createTrial(
+    request: TrialRequest,
+    coordinatorNode: string,
+    serversToAvoid: readonly string[],
+  ): Trial {
     return {
-      serversToAvoid: beside,
+      serversToAvoid,
       placed(server) {
-        tell(at, { kind: 'trial.placed', id: claim.id, server });
+        send(coordinatorNode, { kind: 'trial.placed', id: request.id, server });
       },
       ended() {
-        end(claim, at);
+        end(request, coordinatorNode);
       },
     };
   }
 
-  function end(claim: TrialRequest, at: string): void {
-    if (!asked.delete(claim.id)) return;
-    const known = parts.rowsOf(claim.fingerprint);
-    tell(at, { kind: 'trial.ended', id: claim.id, known });
+  function end(request: TrialRequest, coordinatorNode: string): void {
+    if (!pending.delete(request.id)) return;
+    const known = parts.rowsOf(request.fingerprint);
+    send(coordinatorNode, { kind: 'trial.ended', id: request.id, known });
   }
 
   function received(from: string, message: TrialMessage): void {
     match(message)
       .with({ kind: 'trial.ask' }, ({ id, service, fingerprint }) => {
-        const claim: TrialRequest = { node: from, id, service, fingerprint };
-        if (coordinator.request(claim)) grant(claim);
-        else tell(from, { kind: 'trial.queued', id });
+        const request: TrialRequest = { node: from, id, service, fingerprint };
+        if (coordinator.enqueue(request)) grant(request);
+        else send(from, { kind: 'trial.queued', id });
       })
       .with({ kind: 'trial.placed' }, ({ id, server }) => {
         coordinator.placed(from, id, server);
@@ -195,29 +210,29 @@
         if (next !== undefined) grant(next);
       })
       .with({ kind: 'trial.queued' }, ({ id }) => {
-        asked.get(id)?.noteQueued();
+        pending.get(id)?.queued();
       })
       .with({ kind: 'trial.granted' }, ({ id, known, beside }) => {
         parts.mergeRows(known, from);
-        asked.get(id)?.settle('granted', beside);
+        pending.get(id)?.settle('granted', beside);
       })
       .exhaustive();
   }
 
   return {
-    request: ask,
+    requestTrial,
     received,
     cleared(fingerprint) {
-      for (const { claim, settle } of [...asked.values()]) {
-        if (claim.fingerprint === fingerprint) settle('granted');
+      for (const { request, settle } of [...pending.values()]) {
+        if (request.fingerprint === fingerprint) settle('granted');
       }
     },
     lost(peer) {
-      for (const claim of coordinator.lost(peer)) grant(claim);
-      for (const { at, settle } of [...asked.values()]) {
-        if (at === peer) settle('granted');
+      for (const request of coordinator.lost(peer)) grant(request);
+      for (const { coordinatorNode, settle } of [...pending.values()]) {
+        if (coordinatorNode === peer) settle('granted');
       }
     },
-    size: () => asked.size,
+    size: () => pending.size,
   };
 }
--- a/test/quarantine/crash-correlator.test.ts
+++ b/test/quarantine/crash-correlator.test.ts
@@ -5,50 +5,50 @@
 function createCase() {
   const { clock, advance } = createFakeClock();
   const discounted: string[] = [];
-  const causes = createCrashCorrelator<CrashReport>(clock, ({ fingerprint }) => {
+  const correlator = createCrashCorrelator<CrashReport>(clock, ({ fingerprint }) => {
     discounted.push(fingerprint);
   });
-  return { causes, discounted, advance };
+  return { correlator, discounted, advance };
 }
 
-function createRun(fingerprint: string, server: string, crashes = 1): CrashReport {
+function createReport(fingerprint: string, server: string, crashes = 1): CrashReport {
   return { fingerprint, server, crashes };
 }
 
-describe('what else explains the end of a server', () => {
-  it('is the end of another one at the same moment, where the request was not at work', async () => {
-    const { causes, discounted, advance } = createCase();
-    causes.counted(createRun('page', 'one'));
+describe('crash correlation', () => {
+  it('discounts a crash if another server without the request crashed at the same moment', async () => {
+    const { correlator, discounted, advance } = createCase();
+    correlator.counted(createReport('page', 'one'));
     await advance(10);
-    causes.reported(createRun('other', 'two'));
+    correlator.reported(createReport('other', 'two'));
     await advance(100);
     expect(discounted).to.deep.equal(['page']);
   });
 
-  it('is not the end of a server where the request was at work too, though that is heard later', async () => {
-    const { causes, discounted, advance } = createCase();
-    causes.counted(createRun('fatal', 'one'));
+  it('does not discount a crash if the request also ran on the other server, even if that is reported later', async () => {
+    const { correlator, discounted, advance } = createCase();
+    correlator.counted(createReport('fatal', 'one'));
     await advance(2);
-    causes.reported(createRun('neighbour', 'two'));
+    correlator.reported(createReport('neighbour', 'two'));
     await advance(5);
-    causes.reported(createRun('fatal', 'two', 2));
+    correlator.reported(createReport('fatal', 'two', 2));
     await advance(100);
     expect(discounted).to.deep.equal([]);
   });
 
-  it('is not the end of another one a moment later', async () => {
-    const { causes, discounted, advance } = createCase();
-    causes.counted(createRun('fatal', 'one'));
+  it('does not discount a crash if another server crashed later', async () => {
+    const { correlator, discounted, advance } = createCase();
+    correlator.counted(createReport('fatal', 'one'));
     await advance(60);
-    causes.reported(createRun('other', 'two'));
+    correlator.reported(createReport('other', 'two'));
     await advance(100);
     expect(discounted).to.deep.equal([]);
   });
 
-  it('is a request beside it under which more servers have ended', async () => {
-    const { causes, discounted, advance } = createCase();
-    causes.counted(createRun('page', 'one'));
-    causes.reported(createRun('fatal', 'one', 2));
+  it('discounts a crash if another request on the server has more crashes', async () => {
+    const { correlator, discounted, advance } = createCase();
+    correlator.counted(createReport('page', 'one'));
+    correlator.reported(createReport('fatal', 'one', 2));
     await advance(100);
     expect(discounted).to.deep.equal(['page']);
   });
--- a/test/quarantine/crash-detector.test.ts
+++ b/test/quarantine/crash-detector.test.ts
@@ -6,12 +6,12 @@
 
 const server = { id: 'server-1', address: '10.0.0.1:80' } as RegisteredServer;
 
-/** A case in which the server is dialled with these answers, each twice where it is reached. */
+/** Creates a detector whose probe returns these answers in turn; a server that answers `open` is dialled twice. */
 function createCase(answers: ProbeAnswer[]) {
   const { clock, advance, runUntil } = createFakeClock();
   const confirmed: string[] = [];
   const dialled: string[] = [];
-  const evidence = createCrashDetector<string>({
+  const detector = createCrashDetector<string>({
     clock,
     log: createSilentLog(),
     probe: {
@@ -25,24 +25,24 @@
     },
   });
   function lose(what: string): Promise<void> {
-    return runUntil(evidence.lost(server, what));
+    return runUntil(detector.lost(server, what));
   }
 
-  return { evidence, lose, confirmed, dialled, advance, runUntil };
+  return { detector, lose, confirmed, dialled, advance, runUntil };
 }
 
-describe('evidence that a server has ended', () => {
-  it('is that nobody listens at its address after an answer was lost', async () => {
+describe('crash detector', () => {
+  it('confirms a crash if the address refuses connections after an answer was lost', async () => {
     const { lose, confirmed } = createCase(['refused']);
     await lose('a');
     expect(confirmed).to.deep.equal(['a at server-1: refused']);
   });
 
-  it('counts against all who lost their answers there, also a moment later, with one dial', async () => {
-    const { evidence, confirmed, dialled } = createCase(['refused']);
-    const looks = [evidence.lost(server, 'a'), evidence.lost(server, 'b')];
-    await Promise.all(looks);
-    await evidence.lost(server, 'c');
+  it('confirms all lost answers of the server, later ones included, with one dial', async () => {
+    const { detector, confirmed, dialled } = createCase(['refused']);
+    const checks = [detector.lost(server, 'a'), detector.lost(server, 'b')];
+    await Promise.all(checks);
+    await detector.lost(server, 'c');
     expect(confirmed).to.have.length(3);
     expect(dialled).to.have.length(1);
   });
@@ -53,63 +53,73 @@
     gone?: { hasSuccessor: boolean };
     sign?: string;
   }[] = [
-    { what: 'a reset connection to a server that listens', answer: 'open' },
+    { what: 'a connection reset by a server that listens', answer: 'open' },
     { what: 'a cut link', answer: 'silent' },
     {
-      what: 'a server that leaves after a lost answer',
+      what: 'a server that deregisters after a lost answer',
       answer: 'open',
       gone: { hasSuccessor: false },
     },
-    { what: 'a new start', answer: 'silent', gone: { hasSuccessor: true }, sign: 'restarted' },
-    { what: 'a server gone dark', answer: 'silent', gone: { hasSuccessor: false }, sign: 'lapsed' },
+    {
+      what: 'a restarted server',
+      answer: 'silent',
+      gone: { hasSuccessor: true },
+      sign: 'restarted',
+    },
+    {
+      what: 'an unreachable server whose entry lapses',
+      answer: 'silent',
+      gone: { hasSuccessor: false },
+      sign: 'lapsed',
+    },
   ];
   for (const { what, answer, gone, sign } of cases) {
-    it(`is ${sign === undefined ? 'not ' : ''}${what}`, async () => {
-      const { evidence, lose, confirmed } = createCase(
+    it(`${sign === undefined ? 'ignores' : 'confirms'} ${what}`, async () => {
+      const { detector, lose, confirmed } = createCase(
         answer === 'open' ? ['open', 'open'] : [answer],
       );
       await lose('a');
-      if (gone !== undefined) evidence.removed(server.id, gone.hasSuccessor);
+      if (gone !== undefined) detector.removed(server.id, gone.hasSuccessor);
       expect(confirmed).to.deep.equal(sign === undefined ? [] : [`a at server-1: ${sign}`]);
     });
   }
 
-  it('counts against nobody whose answer was lost while the server went on', async () => {
+  it('does not confirm answers that were lost while the server kept running', async () => {
     const { lose, confirmed } = createCase(['open', 'open', 'refused']);
     await lose('reset');
     await lose('fatal');
     expect(confirmed).to.deep.equal(['fatal at server-1: refused']);
     const later = createCase(['open', 'open']);
     await later.lose('reset');
-    later.evidence.removed(server.id, true);
+    later.detector.removed(server.id, true);
     expect(later.confirmed).to.deep.equal([]);
   });
 
-  it('is that nobody listens a moment later, where the server is just ending', async () => {
+  it('confirms a crash if only the second dial is refused', async () => {
     const { lose, confirmed } = createCase(['open', 'refused']);
     await lose('a');
     expect(confirmed).to.deep.equal(['a at server-1: refused']);
   });
 
-  it('is looked for again where an answer is lost while the server is dialled', async () => {
-    const { evidence, confirmed, dialled, advance, runUntil } = createCase([
+  it('checks again if an answer is lost during the dial', async () => {
+    const { detector, confirmed, dialled, advance, runUntil } = createCase([
       'open',
       'open',
       'refused',
     ]);
-    const first = evidence.lost(server, 'a');
+    const first = detector.lost(server, 'a');
     await advance(1);
-    void evidence.lost(server, 'b');
+    void detector.lost(server, 'b');
     await runUntil(first);
     expect(dialled).to.have.length(3);
     expect(confirmed).to.deep.equal(['b at server-1: refused']);
   });
 
-  it('is not that an entry goes long after an answer was lost', async () => {
-    const { evidence, lose, confirmed, advance } = createCase(['silent']);
+  it('ignores an entry that is removed long after an answer was lost', async () => {
+    const { detector, lose, confirmed, advance } = createCase(['silent']);
     await lose('a');
     await advance(20_000);
-    evidence.removed(server.id, false);
+    detector.removed(server.id, false);
     expect(confirmed).to.deep.equal([]);
   });
 });
--- a/test/quarantine/fingerprint.test.ts
+++ b/test/quarantine/fingerprint.test.ts
@@ -9,7 +9,7 @@
 };
 
 describe('the fingerprint of a request', () => {
-  it('is the same each time that the request comes', () => {
+  it('is equal for repeated requests', () => {
     const again = { ...content, host: 'Desk.example', body: Buffer.from('a body') };
     expect(createFingerprint(again).full()).to.equal(createFingerprint(content).full());
   });
@@ -27,7 +27,7 @@
     expect([...found, createFingerprint(content).full()]).to.have.length(others.length + 1);
   });
 
-  it('begins with its outline, which needs no look at the bytes of the body', () => {
+  it('begins with its prefix, which does not depend on the bytes of the body', () => {
     const fingerprint = createFingerprint(content);
     const sameLength = createFingerprint({ ...content, body: Buffer.from('b body') });
     expect(resolvePrefix(fingerprint.full())).to.equal(fingerprint.prefix());
--- a/test/quarantine/spreading.test.ts
+++ b/test/quarantine/spreading.test.ts
@@ -15,7 +15,7 @@
   quarantine: Quarantine;
 }
 
-/** Gateways on a network, each with a quarantine; every server that is looked at has ended. */
+/** Gateways on a network, each with a quarantine; every server that is dialled refuses connections. */
 function createMembers(count: number) {
   const network = createPeerNetwork(count);
   const members: Member[] = [];
@@ -55,8 +55,8 @@
   return createFingerprint({ method: 'GET', host: 'desk', path, body: undefined });
 }
 
-/** Servers end under a request at a gateway, one after the other. */
-async function endServers({ quarantine }: Member, path: string, times: number): Promise<void> {
+/** Lets servers crash one after the other under a request of a gateway. */
+async function crashServers({ quarantine }: Member, path: string, times: number): Promise<void> {
   for (let time = 0; time < times; time += 1) {
     const watched = quarantine.watch(createRequest(path), 'pages', () => undefined);
     const server = { id: `server-${path}-${time}`, address: 'x' } as RegisteredServer;
@@ -76,25 +76,25 @@
   return members.filter(({ quarantine }) => quarantine.bans().length > 0).length;
 }
 
-describe('what a fleet knows of requests that end servers', () => {
+describe('replication of crash records', () => {
   for (const { count, boundMs } of [
     { count: 7, boundMs: 3_000 },
     { count: 195, boundMs: 5_000 },
   ]) {
-    it(`is known by all ${count} gateways well within ${boundMs} ms`, async () => {
+    it(`bans a request at all ${count} gateways well within ${boundMs} ms`, async () => {
       const { network, members } = createMembers(count);
-      await endServers(memberOf(members, count - 1), '/fatal', 3);
+      await crashServers(memberOf(members, count - 1), '/fatal', 3);
       network.advance(boundMs / 10);
       expect(countBans(members)).to.equal(count);
     });
   }
 
-  it('reaches a gateway that starts later, and one that was cut off meanwhile', async () => {
+  it('reaches a gateway that starts later, and one that was partitioned', async () => {
     const { network, members, join } = createMembers(20);
     const away = memberOf(members, 7);
     network.control.passes = (from, to) => ![from, to].includes(away.node.name);
     network.advance(4_000);
-    await endServers(memberOf(members, 3), '/fatal', 3);
+    await crashServers(memberOf(members, 3), '/fatal', 3);
     network.advance(4_000);
     expect(countBans([away])).to.equal(0);
     network.control.passes = () => true;
@@ -103,13 +103,13 @@
     expect(countBans([away, fresh])).to.equal(2);
   });
 
-  it('is counted in both halves of a fleet that was split, and holds for all after it', async () => {
+  it('counts in both halves of a partitioned fleet, and merges them afterwards', async () => {
     const { network, members } = createMembers(12);
     const half = new Set(members.slice(0, 6).map(({ node }) => node.name));
     network.control.passes = (from, to) => half.has(from) === half.has(to);
     network.advance(4_000);
-    await endServers(memberOf(members, 0), '/fatal', 1);
-    await endServers(memberOf(members, 11), '/fatal', 3);
+    await crashServers(memberOf(members, 0), '/fatal', 1);
+    await crashServers(memberOf(members, 11), '/fatal', 3);
     network.advance(1_000);
     expect(countBans(members)).to.equal(6);
     network.control.passes = () => true;
@@ -117,12 +117,12 @@
     expect(countBans(members)).to.equal(12);
   });
 
-  it('takes a bounded number of bytes where a hundred servers end at once', async () => {
+  it('sends a bounded number of bytes when a hundred servers crash at once', async () => {
     const { network, members } = createMembers(60);
     const before = members.map(({ node }) => node.sentBytes);
     for (let server = 0; server < 100; server += 1) {
       for (let request = 0; request < 16; request += 1) {
-        await endServers(
+        await crashServers(
           memberOf(members, (server + request) % 60),
           `/own/${server}/${request}`,
           1,
@@ -131,7 +131,7 @@
     }
     network.advance(5_000);
     const grown = members.map(({ node }, index) => node.sentBytes - (before[index] ?? 0));
-    // a fifth of what the smallest gateway's link of 14 Mbit/s takes in that time would be 1.75 MB
+    // a fifth of what the smallest gateway's link (14 Mbit/s) can carry in 5 s is 1.75 MB
     expect(Math.max(...grown)).to.be.below(1_750_000);
   });
 });
