--- a/examples/library/claims.ts
+++ b/examples/library/claims.ts
@@ -9,7 +9,7 @@
 import { Ok } from 'ts-results-es';
 import {
   createClaims,
-  createGatheredWriter,
+  createBatchWriter,
   createHttpObjectStore,
   createHttpTableService,
   createMetrics,
@@ -28,7 +28,7 @@
   return createClaims({
     table,
     objectStore: createHttpObjectStore({ baseUrl: storeUrl, timeoutMs: 500 }),
-    writer: createGatheredWriter({ table, clock, gatherMs: 2, maxPerTransaction: 64 }),
+    writer: createBatchWriter({ table, clock, gatherMs: 2, maxPerTransaction: 64 }),
     clock,
     log: createSilentLog(),
     metrics: createMetrics(),
@@ -38,7 +38,7 @@
     createId: randomUUID,
     wallClock: () => Date.now(),
     // Nothing is known here of other processes, so none is taken for gone.
-    isOver: () => Promise.resolve(false),
+    hasLeaseEnded: () => Promise.resolve(false),
   });
 }
 
--- a/src/caller/commands/call-service.ts
+++ b/src/caller/commands/call-service.ts
@@ -158,7 +158,7 @@
   keyed: KeyedRequest,
   result: Result<ServiceAnswer, Failure>,
 ): Promise<Ending> {
-  const earlier = await parts.claims.look(keyed);
+  const earlier = await parts.claims.findOutcome(keyed);
   if (earlier?.kind === 'answered') return { result: Ok(earlier.answer), isReplayed: true };
   if (earlier?.kind === 'refused') return { result: Err(earlier.failure), isReplayed: true };
   return { result, isReplayed: false };
--- a/src/caller/parts.ts
+++ b/src/caller/parts.ts
@@ -22,7 +22,7 @@
   replica: Pick<ConfigurationReplica, 'current'>;
   completions: CompletionRunner;
   services: ServiceCallRunner;
-  claims: Pick<Claims, 'claim' | 'settle' | 'look' | 'join'>;
+  claims: Pick<Claims, 'claim' | 'settle' | 'findOutcome' | 'join'>;
   requestStatuses: RequestStatuses;
   createRequestId(): string;
   readiness(): Readiness;
--- a/src/claims/batch-writer.ts
+++ b/src/claims/batch-writer.ts
@@ -25,12 +25,12 @@
   | { kind: 'unknown'; failure: Failure };
 
 /** Gathers writes. */
-export interface GatheredWriter {
+export interface BatchWriter {
   write(write: RowWrite): Promise<RowWriteOutcome>;
 }
 
 /** What gathering needs. */
-export interface GatheredWriterParts {
+export interface BatchWriterParts {
   table: TableService;
   clock: Clock;
   /** How long a write waits for others, in milliseconds. */
@@ -48,7 +48,7 @@
  *
  * @param parts the table and the limits of a batch
  */
-export function createGatheredWriter(parts: GatheredWriterParts): GatheredWriter {
+export function createBatchWriter(parts: BatchWriterParts): BatchWriter {
   const { table, clock, gatherMs, maxPerTransaction } = parts;
   let gathered: Entry[] = [];
   let timer: Timer | undefined;
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -13,7 +13,7 @@
 import type { Metrics } from '../metrics/index.js';
 import type { ObjectStore, Row, ServiceAnswer, TableService } from '../ports/index.js';
 import { wait, type Clock } from '../task/index.js';
-import type { GatheredWriter } from './gathered-writer.js';
+import type { BatchWriter } from './batch-writer.js';
 import {
   claimRowKey,
   parseClaimRow,
@@ -50,7 +50,7 @@
 export interface ClaimsParts {
   table: TableService;
   objectStore: ObjectStore;
-  writer: GatheredWriter;
+  writer: BatchWriter;
   clock: Clock;
   log: Log;
   metrics: Metrics;
@@ -60,14 +60,14 @@
   createId(): string;
   wallClock(): number;
   /** Whether the process that made a claim is certainly no longer the holder of its lease. */
-  isOver(node: string, incarnation: string): Promise<boolean>;
+  hasLeaseEnded(node: string, incarnation: string): Promise<boolean>;
 }
 
 /** The claims of a node. */
 export interface Claims {
   claim(request: ClaimRequest): Promise<ClaimAnswer>;
   /** The outcome under a key, without claiming it; `undefined` when there is none to give. */
-  look(request: ClaimRequest): Promise<ClaimAnswer | undefined>;
+  findOutcome(request: ClaimRequest): Promise<ClaimAnswer | undefined>;
   /**
    * The outcome of a call under the same key that this node has claimed and not settled; `undefined`
    * when there is none. Settles when the other call does.
@@ -211,7 +211,7 @@
   /** Claimed and not settled: by a process that goes on, or by one that is gone. */
   async function resolveClaimed(row: Row, found: ClaimRow): Promise<ClaimAnswer> {
     const isOwn = found.node === node && found.incarnation === parts.incarnation;
-    if (isOwn || !(await parts.isOver(found.node, found.incarnation))) {
+    if (isOwn || !(await parts.hasLeaseEnded(found.node, found.incarnation))) {
       return refuse(inProgress(found.node));
     }
     const failure = uncertain(found.node);
@@ -294,7 +294,7 @@
 
   return {
     claim,
-    async look(request) {
+    async findOutcome(request) {
       const read = await table.get(claimRowKey(request));
       if (read.isErr() || read.value === undefined) return undefined;
       const found = parseClaimRow(read.value.value);
--- a/src/claims/index.ts
+++ b/src/claims/index.ts
@@ -1,5 +1,5 @@
 /** Claims: requests that may not be repeated run at most once. */
 export * from './claims.js';
-export * from './gathered-writer.js';
+export * from './batch-writer.js';
 export * from './rows.js';
 export * from './sweep.js';
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -27,7 +27,7 @@
   type BackendProtocol,
   type RelayParts,
 } from '../relay/index.js';
-import { createOrderLease, createRoleKeeper, type RoleOrders } from '../roles/index.js';
+import { createOrderLease, createRoleController, type RoleOrders } from '../roles/index.js';
 import { createRoutingReplica, type RoutingDocument, type Service } from '../routing/index.js';
 import {
   allMechanisms,
@@ -208,7 +208,9 @@
     self: { node, cores: settings.cores },
     peers: () => overlay.peers(),
     engines: (service) =>
-      fleet.available(service).filter(({ id }) => health.isUsable(id) && !keeper.isChanging(id)),
+      fleet
+        .available(service)
+        .filter(({ id }) => health.isUsable(id) && !roleController.isChanging(id)),
     cacheTokens: (service) => findService(service)?.engine?.cacheTokens ?? 0,
     caches: engineCalls.caches,
     limits: backpressure.limits,
@@ -269,7 +271,7 @@
     versionsReceived: peering.versionsReceived,
     lost: peering.lost,
   });
-  const keeper = createRoleKeeper({
+  const roleController = createRoleController({
     node,
     clock,
     log,
@@ -285,7 +287,7 @@
     orders: engineCalls.roleOrders,
     services: ownServices,
     engines: (service) => fleet.available(service),
-    generatingLoad: (service) => schedulers.local(service).generatingLoad(),
+    decodeLoad: (service) => schedulers.local(service).generatingLoad(),
     roleChangeMs: (service) => findService(service)?.engine?.roleChangeMs ?? 0,
   });
   const relay: RelayParts = {
@@ -431,7 +433,7 @@
   }
 
   void Promise.race([publishing.done, wait(clock, SEEDS_AFTER_MS)]).then(learnSeeds);
-  keeper.start();
+  roleController.start();
   noteSettings();
   log.write('gatewayStarted', {
     settings: settings.fingerprint,
@@ -450,7 +452,7 @@
     leavingAt = startedAt;
     log.write('gatewayStopping', { inFlight: front.inFlight(), graceMs: bounds.graceMs });
     front.startClosing();
-    keeper.stop();
+    roleController.stop();
     overlay.publish();
     await publishing.withdraw();
     while (clock.now() < endAt) {
--- a/src/lease/lease-monitor.ts
+++ b/src/lease/lease-monitor.ts
@@ -23,7 +23,7 @@
 const OUTAGE_PERIODS = 1.5;
 
 /** What the watch needs. */
-export interface LapseWatchParts {
+export interface LeaseMonitorParts {
   table: TableService;
   clock: Clock;
   log: Log;
@@ -38,7 +38,7 @@
 }
 
 /** The watch over other nodes' leases. */
-export interface LapseWatch {
+export interface LeaseMonitor {
   start(): Promise<void>;
   stop(): void;
   /** The row of a node as last read; reads it when it is not watched. */
@@ -50,7 +50,7 @@
  *
  * @param parts the table, the clock and whom to watch
  */
-export function createLapseWatch(parts: LapseWatchParts): LapseWatch {
+export function createLeaseMonitor(parts: LeaseMonitorParts): LeaseMonitor {
   const { table, clock, terms, log } = parts;
   const observations = new Map<string, Observation>();
   const failingSince = new Map<string, number>();
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -4,7 +4,7 @@
 import type { Readiness } from '../caller/index.js';
 import { createConfigurationReplica, createConfigurationWriter } from '../configuration/index.js';
 import { createLog, type Log } from '../events/index.js';
-import { createLapseWatch, createNodeLease } from '../lease/index.js';
+import { createLeaseMonitor, createNodeLease } from '../lease/index.js';
 import { createMembership } from '../membership/index.js';
 import { createMetrics } from '../metrics/index.js';
 import { createOperatorFront, type NodeStatus } from '../operator/index.js';
@@ -197,7 +197,7 @@
     },
   });
 
-  const lapseWatch = createLapseWatch({
+  const leaseMonitor = createLeaseMonitor({
     table: platform.table('lease'),
     clock,
     log,
@@ -222,7 +222,7 @@
     placedNodes: () => membership.alive(),
     leaseHolder: () => lease.holder(),
     isLeaseValid: () => lease.isValid(),
-    readNodeRow: (name) => lapseWatch.read(name),
+    readNodeRow: (name) => leaseMonitor.read(name),
     taken: (taken, former) => {
       if (former?.released === true) formers.learnRelease(former.holder);
       const shard = shards.find(({ name }) => name === taken.name);
@@ -238,7 +238,7 @@
     incarnation,
     listLagMs: settings.orders.listLagMs,
     vmList: platform.vmList,
-    readNodeRow: (name) => lapseWatch.read(name),
+    readNodeRow: (name) => leaseMonitor.read(name),
     ordersSettled: (engine) => replica.current().vms.get(engine)?.ordersSettled ?? 0,
   });
 
@@ -304,7 +304,7 @@
     backends,
     replica,
     membership,
-    lapseWatch,
+    leaseMonitor,
     questions,
     requestStatuses,
     readiness,
@@ -384,7 +384,7 @@
       await membership.start();
       await replica.start();
       reportTable();
-      await lapseWatch.start();
+      await leaseMonitor.start();
       serving.start();
       ownership.start();
       placing.start();
@@ -404,7 +404,7 @@
       await formers.sendingsEnded();
       await ownership.release();
       await lease.release();
-      lapseWatch.stop();
+      leaseMonitor.stop();
       replica.stop();
       membership.announce();
       membership.stop();
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -3,10 +3,10 @@
  * of teams, and the claims of calls that may run only once.
  */
 import { createCallerFront, type CallerFront, type Readiness } from '../caller/index.js';
-import { createClaims, createClaimSweep, createGatheredWriter } from '../claims/index.js';
+import { createClaims, createClaimSweep, createBatchWriter } from '../claims/index.js';
 import type { ConfigurationReplica } from '../configuration/index.js';
 import type { Log } from '../events/index.js';
-import type { LapseWatch } from '../lease/index.js';
+import type { LeaseMonitor } from '../lease/index.js';
 import {
   createAllowances,
   createLimitHome,
@@ -48,7 +48,7 @@
   backends: Backends;
   replica: ConfigurationReplica;
   membership: Membership;
-  lapseWatch: LapseWatch;
+  leaseMonitor: LeaseMonitor;
   questions: PeerQuestions;
   requestStatuses: RequestStatuses;
   readiness: () => Readiness;
@@ -74,7 +74,7 @@
  */
 export function createServing(parts: ServingParts): Serving {
   const { node, incarnation, settings, environment, platform, log, metrics } = parts;
-  const { placement, backends, replica, membership, lapseWatch, questions, requestStatuses } =
+  const { placement, backends, replica, membership, leaseMonitor, questions, requestStatuses } =
     parts;
   const { clock, random, createId } = environment;
 
@@ -102,7 +102,7 @@
   const claims = createClaims({
     table: platform.table('claims'),
     objectStore: platform.objectStore,
-    writer: createGatheredWriter({
+    writer: createBatchWriter({
       table: platform.table('claims'),
       clock,
       gatherMs: settings.claims.gatherMs,
@@ -116,8 +116,8 @@
     maxInlineBytes: settings.claims.maxInlineBytes,
     createId,
     wallClock: environment.wallClock,
-    isOver: async (claimer, claimerIncarnation) => {
-      const row = await lapseWatch.read(claimer);
+    hasLeaseEnded: async (claimer, claimerIncarnation) => {
+      const row = await leaseMonitor.read(claimer);
       if (row === undefined) return false;
       return row.state !== 'held' || row.holder.incarnation !== claimerIncarnation;
     },
--- a/src/roles/controller.ts
+++ b/src/roles/controller.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../events/index.js';
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
 import type { Clock, Timer } from '../task/index.js';
-import type { OrderLease, OrderTurn } from './order-lease.js';
+import type { OrderLease, OrderGrant } from './order-lease.js';
 import type { RoleOrders } from './orders.js';
 import { resolveChanges, type RoleChange } from './plan.js';
 
@@ -18,7 +18,7 @@
 const SHOWN_MS = 3_000;
 
 /** What the keeper needs. */
-export interface RoleKeeperParts {
+export interface RoleControllerParts {
   node: string;
   clock: Clock;
   log: Log;
@@ -28,13 +28,13 @@
   services(): readonly string[];
   engines(service: string): readonly RegisteredServer[];
   /** Work of generating, in engines that it would keep busy; `undefined` where it is not known. */
-  generatingLoad(service: string): number | undefined;
+  decodeLoad(service: string): number | undefined;
   /** How long an engine is away while its role changes, in milliseconds. */
   roleChangeMs(service: string): number;
 }
 
 /** Keeps roles as planned. */
-export interface RoleKeeper {
+export interface RoleController {
   start(): void;
   /** Whether an engine was ordered to change and has not shown its new role yet. */
   isChanging(id: string): boolean;
@@ -51,7 +51,7 @@
  *
  * @param parts the engines, the lease and the way to give orders
  */
-export function createRoleKeeper(parts: RoleKeeperParts): RoleKeeper {
+export function createRoleController(parts: RoleControllerParts): RoleController {
   const { clock, log } = parts;
   const pending = new Map<string, Pending>();
   const deviatesSince = new Map<string, number>();
@@ -83,7 +83,7 @@
   async function look(): Promise<void> {
     settle();
     for (const service of parts.services()) {
-      const changes = resolveChanges(expected(service), parts.generatingLoad(service));
+      const changes = resolveChanges(expected(service), parts.decodeLoad(service));
       if (changes.length === 0) {
         deviatesSince.delete(service);
         continue;
@@ -99,12 +99,12 @@
   async function giveOrders(
     service: string,
     changes: readonly RoleChange[],
-    turn: OrderTurn,
+    turn: OrderGrant,
   ): Promise<void> {
     await Promise.all(changes.map((change) => giveOrder(service, change, turn)));
   }
 
-  async function giveOrder(service: string, change: RoleChange, turn: OrderTurn): Promise<void> {
+  async function giveOrder(service: string, change: RoleChange, turn: OrderGrant): Promise<void> {
     const { server, role } = change;
     const state = await parts.orders.state(server);
     if (state.isErr()) {
--- a/src/roles/index.ts
+++ b/src/roles/index.ts
@@ -1,5 +1,5 @@
 /** Which engines read prompts and which generate. */
-export * from './keeper.js';
+export * from './controller.js';
 export * from './order-lease.js';
 export * from './orders.js';
 export * from './plan.js';
--- a/src/roles/order-lease.ts
+++ b/src/roles/order-lease.ts
@@ -32,7 +32,7 @@
 });
 
 /** The right to give orders, for a while. */
-export interface OrderTurn {
+export interface OrderGrant {
   /** Grows with every turn. */
   fence: number;
   /** Whether an order may still be sent; read right before each. */
@@ -48,7 +48,7 @@
 /** The right to give orders. */
 export interface OrderLease {
   /** Tries to take or renew the right; `undefined` when it is not to be had now. */
-  acquire(): Promise<OrderTurn | undefined>;
+  acquire(): Promise<OrderGrant | undefined>;
 }
 
 /** What the lease needs. */
@@ -76,7 +76,7 @@
   const windowMs = Math.max(leaseMs - TRANSIT_MS, leaseMs / 2);
   const quietMs = windowMs + leaseMs + TRANSIT_MS;
   let seen: { revision: number; at: number } | undefined;
-  let turn: OrderTurn | undefined;
+  let turn: OrderGrant | undefined;
   /** The newest era that was seen, since when; at first the one that was there at the start. */
   let known: { era: number; since: number; isFirst: boolean } | undefined;
 
@@ -115,7 +115,7 @@
     revision: number,
     started: Moment,
     takenAtMs?: number,
-  ): Promise<OrderTurn | undefined> {
+  ): Promise<OrderGrant | undefined> {
     const era = eraNow();
     const outcome = await table.transact({
       conditions: [{ key: LEASE_KEY, revision }],
@@ -133,7 +133,7 @@
   }
 
   /** Writes the row, and once more with the time, which only a read of the row tells. */
-  async function takeFirst(): Promise<OrderTurn | undefined> {
+  async function takeFirst(): Promise<OrderGrant | undefined> {
     const first = await take(0, now());
     if (first === undefined) return undefined;
     const started = now();
--- a/src/roles/plan.ts
+++ b/src/roles/plan.ts
@@ -31,7 +31,7 @@
  * @param generatingLoad work of generating, in engines that it would keep busy; `undefined` where it
  * is not known
  */
-export function resolveReaders(engines: number, generatingLoad?: number): number {
+export function resolvePrefillCount(engines: number, generatingLoad?: number): number {
   if (engines < 2) return 0;
   const readers = Math.min(engines - 1, Math.max(1, Math.round(engines * READING_SHARE)));
   if (generatingLoad === undefined) return readers;
@@ -52,8 +52,8 @@
   generatingLoad?: number,
 ): RoleChange[] {
   const readers = engines.filter(({ role }) => role === 'prefill');
-  const surplus = readers.length - resolveReaders(engines.length, generatingLoad);
-  const isUsual = readers.length >= resolveReaders(engines.length);
+  const surplus = readers.length - resolvePrefillCount(engines.length, generatingLoad);
+  const isUsual = readers.length >= resolvePrefillCount(engines.length);
   const generating = engines.length - readers.length;
   if (isUsual && generating >= Math.min(LEAST_GENERATING, engines.length - 1)) {
     // a gateway that has just begun to schedule leaves the split as another one chose it
--- a/test/claims/claims.test.ts
+++ b/test/claims/claims.test.ts
@@ -5,7 +5,7 @@
   claimRowKey,
   createClaims,
   createClaimSweep,
-  createGatheredWriter,
+  createBatchWriter,
   parseClaimRow,
   type Claim,
   type ClaimAnswer,
@@ -63,7 +63,7 @@
     createClaims({
       table,
       objectStore: objects.store,
-      writer: createGatheredWriter({ table, clock: time.clock, gatherMs: 2, maxPerTransaction: 8 }),
+      writer: createBatchWriter({ table, clock: time.clock, gatherMs: 2, maxPerTransaction: 8 }),
       clock: time.clock,
       log: createSilentLog(),
       metrics: createMetrics(),
@@ -72,7 +72,7 @@
       maxInlineBytes: MAX_INLINE_BYTES,
       createId: () => `id${(ids += 1)}`,
       wallClock: () => time.clock.now(),
-      isOver: (claimer) => Promise.resolve(over.has(claimer)),
+      hasLeaseEnded: (claimer) => Promise.resolve(over.has(claimer)),
     });
   const request = (more: Partial<ClaimRequest> = {}): ClaimRequest => {
     return { team: 'kumasi', key: 'k', requestId: `r${(ids += 1)}`, bodyHash: 'h', ...more };
--- a/test/roles/drawn-histories.test.ts
+++ b/test/roles/drawn-histories.test.ts
@@ -4,7 +4,7 @@
 import { createSilentLog } from '../../src/events/index.js';
 import { resolveEra, resolvePosition } from '../../src/ports/position.js';
 import type { Row, TableService, Transaction } from '../../src/ports/index.js';
-import { createOrderLease, type OrderLease, type OrderTurn } from '../../src/roles/index.js';
+import { createOrderLease, type OrderLease, type OrderGrant } from '../../src/roles/index.js';
 import { createSeededRandom, type Clock } from '../../src/task/index.js';
 
 const HISTORIES = 3_000;
@@ -94,7 +94,7 @@
   /** Time that its steady clock has not counted, in ms. */
   suspendedMs: number;
   isAway: boolean;
-  turn: OrderTurn | undefined;
+  turn: OrderGrant | undefined;
 }
 
 describe('the right to give orders over a store that is restored and VMs that are suspended', () => {
--- a/test/roles/roles.test.ts
+++ b/test/roles/roles.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createSilentLog } from '../../src/events/index.js';
 import type { EngineRole, RegisteredServer } from '../../src/fleet/index.js';
-import { createOrderLease, resolveChanges, resolveReaders } from '../../src/roles/index.js';
+import { createOrderLease, resolveChanges, resolvePrefillCount } from '../../src/roles/index.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 import { createMemoryTable } from '../fixtures/memory-table.js';
 
@@ -22,9 +22,9 @@
 
 describe('the split of engines', () => {
   it('lets engines read that generating does not need, but two', () => {
-    expect(resolveReaders(60, 2)).to.equal(52);
-    expect(resolveReaders(60, 0.1)).to.equal(58);
-    expect(resolveReaders(6, 0.1)).to.equal(4);
+    expect(resolvePrefillCount(60, 2)).to.equal(52);
+    expect(resolvePrefillCount(60, 0.1)).to.equal(58);
+    expect(resolvePrefillCount(6, 0.1)).to.equal(4);
   });
 
   it('never takes engines from generating that the usual split gives it, for lack of knowledge', () => {
@@ -42,14 +42,14 @@
 
   it('always leaves an engine that generates, and one that reads where there are two', () => {
     for (let count = 2; count < 60; count += 1) {
-      expect(resolveReaders(count)).to.be.within(1, count - 1);
+      expect(resolvePrefillCount(count)).to.be.within(1, count - 1);
     }
-    expect(resolveReaders(1)).to.equal(0);
+    expect(resolvePrefillCount(1)).to.equal(0);
   });
 
   it('orders just as many changes as the split lacks', () => {
     const fleet = engines(['decode', 'decode', 'decode', 'decode', 'decode', 'decode']);
-    expect(resolveChanges(fleet)).to.have.length(resolveReaders(6));
+    expect(resolveChanges(fleet)).to.have.length(resolvePrefillCount(6));
   });
 
   it('orders nothing where the split is right', () => {
