--- a/src/roles/controller.ts
+++ b/src/roles/controller.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the split of a service's engines between reading and generating as planned. Orders are dear
- * and an engine is away while it changes, so a deviation must last before anything is ordered.
+ * Keeps the split of a service's engines between prefill and decode as planned. An engine is
+ * unavailable while its role changes, so only a lasting deviation is corrected.
  */
 import { match } from 'ts-pattern';
 import type { Log } from '../events/index.js';
@@ -10,14 +10,15 @@
 import type { RoleOrders } from './orders.js';
 import { resolveChanges, type RoleChange } from './plan.js';
 
-/** Time between two looks at the split, in ms. */
-const LOOK_MS = 400;
-/** A deviation must last so long, in ms: longer than an entry takes to come back after a restart. */
-const LASTING_MS = 1_200;
-/** After its change an engine's new role shows in the registry within this, in ms. */
-const SHOWN_MS = 3_000;
+/** Interval between two checks of the split, in ms. */
+const CHECK_INTERVAL_MS = 400;
+/** How long a deviation must last before it is corrected, in ms: longer than an entry takes to come back after a
+ * restart. */
+const MIN_DEVIATION_MS = 1_200;
+/** Delay within which an engine's new role appears in the registry, in ms. */
+const REGISTRY_DELAY_MS = 3_000;
 
-/** What the keeper needs. */
+/** Dependencies of the role controller. */
 export interface RoleControllerParts {
   node: string;
   clock: Clock;
@@ -27,39 +28,39 @@
   /** Services with engines that this gateway schedules. */
   services(): readonly string[];
   engines(service: string): readonly RegisteredServer[];
-  /** Work of generating, in engines that it would keep busy; `undefined` where it is not known. */
+  /** Decode work, as the number of engines that it would keep busy; `undefined` if unknown. */
   decodeLoad(service: string): number | undefined;
-  /** How long an engine is away while its role changes, in milliseconds. */
+  /** How long an engine is unavailable while its role changes, in milliseconds. */
   roleChangeMs(service: string): number;
 }
 
-/** Keeps roles as planned. */
+/** Controls the roles of engines. */
 export interface RoleController {
   start(): void;
-  /** Whether an engine was ordered to change and has not shown its new role yet. */
+  /** Whether an engine was ordered to change its role and its new role is not registered yet. */
   isChanging(id: string): boolean;
   stop(): void;
 }
 
-interface Pending {
+interface PendingChange {
   role: EngineRole;
   until: number;
 }
 
 /**
- * Creates the keeper of one gateway.
+ * Creates the role controller of a gateway.
  *
- * @param parts the engines, the lease and the way to give orders
+ * @param parts the engines, the order lease and the client for role orders
  */
 export function createRoleController(parts: RoleControllerParts): RoleController {
   const { clock, log } = parts;
-  const pending = new Map<string, Pending>();
+  const pending = new Map<string, PendingChange>();
   const deviatesSince = new Map<string, number>();
   let timer: Timer | undefined;
   let stopped = false;
 
-  /** Engines with the roles that they have or are about to have. */
-  function expected(service: string): RegisteredServer[] {
+  /** Engines with their current or pending roles. */
+  function listEngines(service: string): RegisteredServer[] {
     const found: RegisteredServer[] = [];
     for (const engine of parts.engines(service)) {
       const change = pending.get(engine.id);
@@ -68,7 +69,8 @@
     return found;
   }
 
-  function settle(): void {
+  /** Removes pending changes that are registered or overdue. */
+  function removeFinished(): void {
     const now = clock.now();
     for (const service of parts.services()) {
       for (const { id, role } of parts.engines(service)) {
@@ -80,31 +82,31 @@
     }
   }
 
-  async function look(): Promise<void> {
-    settle();
+  async function check(): Promise<void> {
+    removeFinished();
     for (const service of parts.services()) {
-      const changes = resolveChanges(expected(service), parts.decodeLoad(service));
+      const changes = resolveChanges(listEngines(service), parts.decodeLoad(service));
       if (changes.length === 0) {
         deviatesSince.delete(service);
         continue;
       }
       const since = deviatesSince.get(service) ?? clock.now();
       deviatesSince.set(service, since);
-      if (clock.now() - since < LASTING_MS) continue;
-      const turn = await parts.lease.acquire();
-      if (turn !== undefined) await giveOrders(service, changes, turn);
+      if (clock.now() - since < MIN_DEVIATION_MS) continue;
+      const grant = await parts.lease.acquire();
+      if (grant !== undefined) await sendOrders(service, changes, grant);
     }
   }
 
-  async function giveOrders(
+  async function sendOrders(
     service: string,
     changes: readonly RoleChange[],
-    turn: OrderGrant,
+    grant: OrderGrant,
   ): Promise<void> {
-    await Promise.all(changes.map((change) => giveOrder(service, change, turn)));
+    await Promise.all(changes.map((change) => sendOrder(service, change, grant)));
   }
 
-  async function giveOrder(service: string, change: RoleChange, turn: OrderGrant): Promise<void> {
+  async function sendOrder(service: string, change: RoleChange, grant: OrderGrant): Promise<void> {
     const { server, role } = change;
     const state = await parts.orders.state(server);
     if (state.isErr()) {
@@ -112,10 +114,14 @@
       return;
     }
     if (state.value.isChanging || state.value.role === role) return;
-    if (stopped || !turn.isValid()) return;
-    const { fence } = turn;
+    // the grant may have ended while the state was read
+    if (stopped || !grant.isValid()) return;
+    const { fence } = grant;
     log.write('roleOrdered', { server: server.id, role, fence, ordersBefore: state.value.orders });
-    pending.set(server.id, { role, until: clock.now() + parts.roleChangeMs(service) + SHOWN_MS });
+    pending.set(server.id, {
+      role,
+      until: clock.now() + parts.roleChangeMs(service) + REGISTRY_DELAY_MS,
+    });
     const ordersBefore = state.value.orders;
     const answer = await parts.orders.order(server, {
       role,
@@ -131,8 +137,8 @@
   }
 
   function schedule(): void {
-    timer = clock.after(LOOK_MS, () => {
-      void look().finally(() => {
+    timer = clock.after(CHECK_INTERVAL_MS, () => {
+      void check().finally(() => {
         if (!stopped) schedule();
       });
     });
--- a/src/roles/index.ts
+++ b/src/roles/index.ts
@@ -1,4 +1,4 @@
-/** Which engines read prompts and which generate. */
+/** Roles of engines: prefill or decode. */
 export * from './controller.js';
 export * from './order-lease.js';
 export * from './orders.js';
--- a/src/roles/order-lease.ts
+++ b/src/roles/order-lease.ts
@@ -1,122 +1,121 @@
 /**
- * The right to give orders: one gateway at a time, by a row in the store. It lasts for a short
- * window after it was taken. Another gateway takes it only once that window and the lease time on top
- * are over, so that the orders of two gateways never come close together. The row says when it was
- * taken by the store's steady clock, so a gateway that has just come need not watch first: where
- * gateways end one after another, nobody would ever have watched for long enough, and no engine would
- * change its role for 17 s (measured with three engines lost while gateways were stopped in turn).
- * A store that is restored from an older copy may name a holder that had passed the right on, or none. So a turn ends
- * with the era in which it was taken, and nobody takes one in a new era before the longest turn of the one before, and
- * the lease time on top, must be over.
+ * Lease on the right to send orders, held by one gateway at a time as a row in the store. A grant is
+ * valid for a short window. Another gateway takes the lease only after that window plus the lease time,
+ * so that orders of two gateways are never close together. The row records the store's steady clock at
+ * the time it was taken, so that a gateway that has just started need not observe the row first. If the
+ * store has no clock, a gateway must observe the row unchanged for that time.
  *
- * Where the store has no clock, a gateway has to see the row unchanged for that time.
+ * A store that is restored from a backup may name an earlier holder, or none. So a grant ends with the
+ * store era in which it was taken, and in a new era nobody takes the lease until the longest grant of
+ * the previous era and the lease time must be over.
  */
 import * as z from 'zod';
 import type { Log } from '../events/index.js';
 import type { Row, TableService } from '../ports/table-service.js';
 import type { Clock } from '../task/index.js';
 
-/** The row that says who gives orders. */
+/** Key of the row that names the holder. */
 const LEASE_KEY = 'role-orders';
-/** A store that was never restored is in this era, or in none. */
+/** Era of a store that was never restored; a store without eras has era 0. */
 const FIRST_ERA = 1;
-/** What the way of an order to an engine may take, and a process may be late, in ms. */
+/** Allowance for the transit of an order and for scheduling delays of the process, in ms. */
 const TRANSIT_MS = 1_000;
 
 const leaseSchema = z.object({
   holder: z.string(),
-  /** The store's steady clock shortly before the right was taken, in ms; absent where it has none. */
+  /** The store's steady clock shortly before the lease was taken, in ms; absent if the store has no clock. */
   takenAtMs: z.number().optional(),
-  /** The store's era in which it was taken. */
+  /** The store's era in which the lease was taken. */
   era: z.number().default(0),
 });
 
-/** The right to give orders, for a while. */
+/** The right to send orders for a limited time. */
 export interface OrderGrant {
-  /** Grows with every turn. */
+  /** Fencing token; increases with every grant. */
   fence: number;
-  /** Whether an order may still be sent; read right before each. */
+  /** Whether an order may still be sent; check right before each order. */
   isValid(): boolean;
 }
 
-/** A moment by both clocks. */
-interface Moment {
+/** A reading of both clocks. */
+interface ClockReading {
   steadyMs: number;
-  ofDayMs: number;
+  wallClockMs: number;
 }
 
-/** The right to give orders. */
+/** Lease on the right to send orders. */
 export interface OrderLease {
-  /** Tries to take or renew the right; `undefined` when it is not to be had now. */
+  /** Returns the current grant, or tries to take the lease; `undefined` if it cannot be taken now. */
   acquire(): Promise<OrderGrant | undefined>;
 }
 
-/** What the lease needs. */
+/** Dependencies of the order lease. */
 export interface OrderLeaseParts {
   node: string;
   table: TableService;
-  /** The newest era of the store that is known, from the store or from peers; 0 where it has none. */
+  /** The newest known era of the store, from the store or from peers; 0 if it has none. */
   era?: () => number;
   clock: Clock;
-  /** The time of day, in ms since the epoch. It goes on while the VM is suspended, which the steady clock does not see;
-   * it jumps as well, so it may only end a turn early. */
+  /** The time of day, in ms since the epoch. Unlike the steady clock it advances while the VM is suspended. Since it may
+   * also jump, it may only end a grant early, never extend it. */
   timeOfDay: () => number;
   log: Log;
-  /** Time for which a holder of orders must be alone, in milliseconds. */
+  /** Minimum time between the orders of two holders, in milliseconds. */
   leaseMs: number;
 }
 
 /**
- * Creates the lease of one gateway.
+ * Creates the order lease of a gateway.
  *
  * @param parts the gateway's name, the store and the lease time
  */
 export function createOrderLease(parts: OrderLeaseParts): OrderLease {
   const { node, table, clock, log, leaseMs } = parts;
   const windowMs = Math.max(leaseMs - TRANSIT_MS, leaseMs / 2);
-  const quietMs = windowMs + leaseMs + TRANSIT_MS;
-  let seen: { revision: number; at: number } | undefined;
-  let turn: OrderGrant | undefined;
-  /** The newest era that was seen, since when; at first the one that was there at the start. */
-  let known: { era: number; since: number; isFirst: boolean } | undefined;
+  const takeoverMs = windowMs + leaseMs + TRANSIT_MS;
+  let observed: { revision: number; at: number } | undefined;
+  let grant: OrderGrant | undefined;
+  /** The newest observed era and when it was first observed. `isFirst` if the gateway started in it. */
+  let observedEra: { era: number; since: number; isFirst: boolean } | undefined;
 
-  function now(): Moment {
-    return { steadyMs: clock.now(), ofDayMs: parts.timeOfDay() };
+  function now(): ClockReading {
+    return { steadyMs: clock.now(), wallClockMs: parts.timeOfDay() };
   }
 
-  /** By whichever clock more time has passed: a suspension is seen by the time of day alone, its jump back by none. */
-  function elapsedSince({ steadyMs, ofDayMs }: Moment): number {
-    return Math.max(clock.now() - steadyMs, parts.timeOfDay() - ofDayMs);
+  /** Uses the clock by which more time has passed: only the time of day shows a suspension, and it may jump back. */
+  function elapsedSince({ steadyMs, wallClockMs }: ClockReading): number {
+    return Math.max(clock.now() - steadyMs, parts.timeOfDay() - wallClockMs);
   }
 
-  function eraNow(): number {
+  function currentEra(): number {
     return parts.era?.() ?? table.era?.() ?? 0;
   }
 
-  /** Whether a holder of the era before may still give orders, as far as the row and this gateway know. */
-  function mayBeHeldBefore(row: Row | undefined): boolean {
-    const era = eraNow();
-    if (known?.era !== era) known = { era, since: clock.now(), isFirst: known === undefined };
-    const holder = leaseSchema.safeParse(row?.value);
-    if (holder.success && holder.data.era === era) return false;
-    // without a row there is no telling an era that has long been there from one that has just begun
-    const isUnsure = row === undefined ? !known.isFirst || era > FIRST_ERA : true;
-    return isUnsure && clock.now() - known.since <= quietMs;
+  /** Whether a holder from an earlier era may still send orders. */
+  function mayBeHeldInEarlierEra(row: Row | undefined): boolean {
+    const era = currentEra();
+    if (observedEra?.era !== era)
+      observedEra = { era, since: clock.now(), isFirst: observedEra === undefined };
+    const lease = leaseSchema.safeParse(row?.value);
+    if (lease.success && lease.data.era === era) return false;
+    // without a row, any era but the first may have just begun
+    const mayHaveJustBegun = row === undefined ? !observedEra.isFirst || era > FIRST_ERA : true;
+    return mayHaveJustBegun && clock.now() - observedEra.since <= takeoverMs;
   }
 
   /**
-   * Takes the right.
+   * Tries to take the lease.
    *
-   * @param revision of the row as it was read; 0 for none
-   * @param started when that read began; the turn counts from there
+   * @param revision the revision of the row as read; 0 if it is absent
+   * @param started when that read started; the grant's window starts then
    * @param takenAtMs the store's clock as of that read
    */
-  async function take(
+  async function tryTake(
     revision: number,
-    started: Moment,
+    started: ClockReading,
     takenAtMs?: number,
   ): Promise<OrderGrant | undefined> {
-    const era = eraNow();
+    const era = currentEra();
     const outcome = await table.transact({
       conditions: [{ key: LEASE_KEY, revision }],
       puts: [{ key: LEASE_KEY, value: { holder: node, takenAtMs, era } }],
@@ -128,29 +127,32 @@
     }
     const fence = outcome.revision;
     log.write('roleLeaseTaken', { fence, windowMs, era });
-    turn = { fence, isValid: () => eraNow() === era && elapsedSince(started) < windowMs };
-    return turn;
+    grant = { fence, isValid: () => currentEra() === era && elapsedSince(started) < windowMs };
+    return grant;
   }
 
-  /** Writes the row, and once more with the time, which only a read of the row tells. */
-  async function takeFirst(): Promise<OrderGrant | undefined> {
-    const first = await take(0, now());
+  /** Creates the row, and writes it again with the store's clock, which only a read of an existing row returns. */
+  async function createRow(): Promise<OrderGrant | undefined> {
+    const first = await tryTake(0, now());
     if (first === undefined) return undefined;
     const started = now();
     const result = await table.get(LEASE_KEY);
     const row = result.isOk() ? result.value : undefined;
     if (row?.readAtMs === undefined) return first;
-    return take(row.revision, started, row.readAtMs);
+    return tryTake(row.revision, started, row.readAtMs);
   }
 
-  /** Whether the store's clock alone shows that the last turn and the lease time are over. */
-  function isLongOver(takenAtMs: number | undefined, readAtMs: number | undefined): boolean {
-    return takenAtMs !== undefined && readAtMs !== undefined && readAtMs - takenAtMs > quietMs;
+  /** Whether the store's clock shows that the last grant and the lease time are over. */
+  function isOverByStoreClock(
+    takenAtMs: number | undefined,
+    readAtMs: number | undefined,
+  ): boolean {
+    return takenAtMs !== undefined && readAtMs !== undefined && readAtMs - takenAtMs > takeoverMs;
   }
 
   return {
     async acquire() {
-      if (turn?.isValid() === true) return turn;
+      if (grant?.isValid() === true) return grant;
       const started = now();
       const result = await table.get(LEASE_KEY);
       if (result.isErr()) {
@@ -158,21 +160,22 @@
         return undefined;
       }
       const row = result.value;
-      if (mayBeHeldBefore(row)) {
-        log.write('roleLeaseDenied', { reason: 'an earlier era', era: eraNow() });
+      if (mayBeHeldInEarlierEra(row)) {
+        log.write('roleLeaseDenied', { reason: 'an earlier era', era: currentEra() });
         return undefined;
       }
-      if (row === undefined) return takeFirst();
+      if (row === undefined) return createRow();
       const { revision, readAtMs } = row;
-      const holder = leaseSchema.safeParse(row.value);
-      if (holder.success && holder.data.holder === node) return take(revision, started, readAtMs);
-      if (isLongOver(holder.data?.takenAtMs, readAtMs)) return take(revision, started, readAtMs);
-      if (seen?.revision !== row.revision) {
-        seen = { revision: row.revision, at: clock.now() };
+      const lease = leaseSchema.safeParse(row.value);
+      if (lease.success && lease.data.holder === node) return tryTake(revision, started, readAtMs);
+      if (isOverByStoreClock(lease.data?.takenAtMs, readAtMs))
+        return tryTake(revision, started, readAtMs);
+      if (observed?.revision !== row.revision) {
+        observed = { revision: row.revision, at: clock.now() };
         return undefined;
       }
-      const isQuiet = clock.now() - seen.at > quietMs;
-      return isQuiet ? take(revision, started, readAtMs) : undefined;
+      const isUnchanged = clock.now() - observed.at > takeoverMs;
+      return isUnchanged ? tryTake(revision, started, readAtMs) : undefined;
     },
   };
 }
--- a/src/roles/orders.ts
+++ b/src/roles/orders.ts
@@ -1,37 +1,37 @@
 /**
- * Orders that change what an engine does: read prompts for others, or generate.
+ * Orders that change an engine's role.
  */
 import type { Result } from 'ts-results-es';
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
 
-/** What an engine says of itself. */
+/** State that an engine reports. */
 export interface EngineState {
   role: EngineRole;
-  /** A change is under way. */
+  /** Whether a role change is in progress. */
   isChanging: boolean;
-  /** Orders that it has accepted since its start. */
+  /** Number of orders that the engine has accepted since its start. */
   orders: number;
 }
 
-/** An order to change the role. */
+/** An order to change an engine's role. */
 export interface RoleOrder {
   role: EngineRole;
-  /** The gateway that gives it. */
+  /** The gateway that sends the order. */
   holder: string;
-  /** Grows with every turn of a holder. */
+  /** Fencing token of the sender's grant; increases with every grant. */
   fence: number;
-  /** Orders that the engine must have accepted before; makes an order that arrives late void. */
+  /** Number of orders that the engine must have accepted so far; otherwise it refuses this one as late. */
   ordersBefore: number;
 }
 
-/** What became of an order. `unknown`: it may be carried out, now or later. */
+/** Outcome of an order. `unknown`: the engine may carry it out, now or later. */
 export interface OrderAnswer {
   kind: 'accepted' | 'refused' | 'unknown';
-  /** HTTP status; 0 for none. */
+  /** HTTP status; 0 if there was no response. */
   status: number;
 }
 
-/** Speaks to engines about their roles. */
+/** Client for the role endpoints of engines. */
 export interface RoleOrders {
   state(server: RegisteredServer): Promise<Result<EngineState, string>>;
   order(server: RegisteredServer, order: RoleOrder): Promise<OrderAnswer>;
--- a/src/roles/plan.ts
+++ b/src/roles/plan.ts
@@ -1,85 +1,83 @@
 /**
- * How many engines of a service read prompts for the others, and which of them change their role to
- * get there. The share was weighed on the standard days; docs/PLATFORM-MEASUREMENTS.md has the
- * figures.
+ * Plans the split of a service's engines between prefill and decode. docs/PLATFORM-MEASUREMENTS.md
+ * has the measurements behind the shares.
  */
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
 
-/** Share of the engines that read prompts while nothing is known of the demand, and the least share:
- * generating may turn out to need the rest. */
-const READING_SHARE = 0.62;
-/** Load up to which engines that generate are to be used: bursts of long answers and transfers that
- * come together are several times the mean. */
-const GENERATING_LOAD = 0.25;
-/** Engines that generate at least, where there are enough: with a single one, all ends when it does. */
-const LEAST_GENERATING = 2;
-/** Part of the engines by which the split must be off before it is changed for the demand: an engine is
- * away for seconds while it changes. */
-const WORTH_CHANGING_SHARE = 0.1;
+/** Share of the engines that prefill while the decode load is unknown; also the minimum share. */
+const PREFILL_SHARE = 0.62;
+/** Target load of a decode engine; leaves headroom for bursts of long answers and transfers, which
+ * reach several times the mean. */
+const TARGET_DECODE_LOAD = 0.25;
+/** Minimum number of decode engines for redundancy, if there are enough engines. */
+const MIN_DECODE_ENGINES = 2;
+/** Minimum deviation, as a share of the engines, that is corrected for the decode load: an engine is
+ * unavailable for seconds while its role changes. */
+const MIN_CHANGE_SHARE = 0.1;
 
-/** One change of a role. */
+/** A change of an engine's role. */
 export interface RoleChange {
   server: RegisteredServer;
   role: EngineRole;
 }
 
 /**
- * Number of engines that are to read prompts. Where few engines would do for generating, the others
- * read as well: reading is what bursts ask for, and every engine that reads adds its cache.
+ * Planned number of prefill engines. Engines that are not needed for decode prefill as well, because
+ * bursts consist of prefill work and each prefill engine adds its cache.
  *
- * @param engines how many there are
- * @param generatingLoad work of generating, in engines that it would keep busy; `undefined` where it
- * is not known
+ * @param engines the number of engines
+ * @param decodeLoad decode work, as the number of engines that it would keep busy; `undefined` if
+ * unknown
  */
-export function resolvePrefillCount(engines: number, generatingLoad?: number): number {
+export function resolvePrefillCount(engines: number, decodeLoad?: number): number {
   if (engines < 2) return 0;
-  const readers = Math.min(engines - 1, Math.max(1, Math.round(engines * READING_SHARE)));
-  if (generatingLoad === undefined) return readers;
-  const generating = Math.max(LEAST_GENERATING, Math.ceil(generatingLoad / GENERATING_LOAD));
-  return Math.max(readers, engines - generating);
+  const prefillCount = Math.min(engines - 1, Math.max(1, Math.round(engines * PREFILL_SHARE)));
+  if (decodeLoad === undefined) return prefillCount;
+  const decodeCount = Math.max(MIN_DECODE_ENGINES, Math.ceil(decodeLoad / TARGET_DECODE_LOAD));
+  return Math.max(prefillCount, engines - decodeCount);
 }
 
 /**
- * Lists the changes that lead to the planned split. The availability zone with the most engines of
- * the role in excess gives one up first, so that both roles stay spread over the zones.
+ * Lists the role changes that lead to the planned split. Engines are taken from the availability zone
+ * with the most engines of the surplus role first, so that both roles stay spread over the zones.
  *
- * @param engines engines of a service with the role that each has or is about to have
- * @param generatingLoad work of generating, in engines that it would keep busy; `undefined` where it
- * is not known
+ * @param engines engines of a service with their current or pending roles
+ * @param decodeLoad decode work, as the number of engines that it would keep busy; `undefined` if
+ * unknown
  */
 export function resolveChanges(
   engines: readonly RegisteredServer[],
-  generatingLoad?: number,
+  decodeLoad?: number,
 ): RoleChange[] {
-  const readers = engines.filter(({ role }) => role === 'prefill');
-  const surplus = readers.length - resolvePrefillCount(engines.length, generatingLoad);
-  const isUsual = readers.length >= resolvePrefillCount(engines.length);
-  const generating = engines.length - readers.length;
-  if (isUsual && generating >= Math.min(LEAST_GENERATING, engines.length - 1)) {
-    // a gateway that has just begun to schedule leaves the split as another one chose it
-    if (generatingLoad === undefined) return [];
-    if (Math.abs(surplus) < WORTH_CHANGING_SHARE * engines.length) return [];
+  const prefillEngines = engines.filter(({ role }) => role === 'prefill');
+  const surplus = prefillEngines.length - resolvePrefillCount(engines.length, decodeLoad);
+  const hasMinPrefill = prefillEngines.length >= resolvePrefillCount(engines.length);
+  const decodeCount = engines.length - prefillEngines.length;
+  if (hasMinPrefill && decodeCount >= Math.min(MIN_DECODE_ENGINES, engines.length - 1)) {
+    // a gateway that has just started to schedule keeps the split of its predecessor
+    if (decodeLoad === undefined) return [];
+    if (Math.abs(surplus) < MIN_CHANGE_SHARE * engines.length) return [];
   }
   const role: EngineRole = surplus > 0 ? 'decode' : 'prefill';
   const pool = engines.filter((engine) => engine.role !== undefined && engine.role !== role);
   const changes: RoleChange[] = [];
   for (let index = 0; index < Math.abs(surplus); index += 1) {
-    const server = takeFromFullestZone(pool);
+    const server = takeFromLargestZone(pool);
     if (server === undefined) break;
     changes.push({ server, role });
   }
   return changes;
 }
 
-function takeFromFullestZone(pool: RegisteredServer[]): RegisteredServer | undefined {
+function takeFromLargestZone(pool: RegisteredServer[]): RegisteredServer | undefined {
   const counts = new Map<string, number>();
   for (const { zone } of pool) {
     counts.set(zone, (counts.get(zone) ?? 0) + 1);
   }
   let best: RegisteredServer | undefined;
   for (const server of pool) {
-    const isFuller = (counts.get(server.zone) ?? 0) > (counts.get(best?.zone ?? '') ?? 0);
-    if (best === undefined || isFuller) best = server;
+    const isLarger = (counts.get(server.zone) ?? 0) > (counts.get(best?.zone ?? '') ?? 0);
+    if (best === undefined || isLarger) best = server;
   }
   if (best !== undefined) pool.splice(pool.indexOf(best), 1);
   return best;
--- a/test/roles/roles.test.ts
+++ b/test/roles/roles.test.ts
@@ -20,14 +20,14 @@
   }));
 }
 
-describe('the split of engines', () => {
-  it('lets engines read that generating does not need, but two', () => {
+describe('planned role changes', () => {
+  it('assign engines to prefill that decode does not need, except two', () => {
     expect(resolvePrefillCount(60, 2)).to.equal(52);
     expect(resolvePrefillCount(60, 0.1)).to.equal(58);
     expect(resolvePrefillCount(6, 0.1)).to.equal(4);
   });
 
-  it('never takes engines from generating that the usual split gives it, for lack of knowledge', () => {
+  it('keep a split with enough prefill and decode engines while the decode load is unknown', () => {
     const roles = [
       'prefill',
       'prefill',
@@ -40,25 +40,25 @@
     expect(resolveChanges(engines(roles))).to.deep.equal([]);
   });
 
-  it('always leaves an engine that generates, and one that reads where there are two', () => {
+  it('leave at least one decode engine, and one prefill engine if there are two engines', () => {
     for (let count = 2; count < 60; count += 1) {
       expect(resolvePrefillCount(count)).to.be.within(1, count - 1);
     }
     expect(resolvePrefillCount(1)).to.equal(0);
   });
 
-  it('orders just as many changes as the split lacks', () => {
+  it('are as many as the split lacks', () => {
     const fleet = engines(['decode', 'decode', 'decode', 'decode', 'decode', 'decode']);
     expect(resolveChanges(fleet)).to.have.length(resolvePrefillCount(6));
   });
 
-  it('orders nothing where the split is right', () => {
+  it('are none if the split is as planned', () => {
     const roles: EngineRole[] = ['prefill', 'prefill', 'prefill', 'prefill', 'decode', 'decode'];
     expect(resolveChanges(engines(roles))).to.deep.equal([]);
   });
 });
 
-describe('the right to give orders', () => {
+describe('order lease', () => {
   function setUp(hasClock = false) {
     const fake = createFakeClock();
     const { table } = createMemoryTable(hasClock ? () => 90_000 + fake.clock.now() : undefined);
@@ -74,21 +74,21 @@
     return { ...fake, create };
   }
 
-  it('belongs to one gateway at a time', async () => {
+  it('is held by one gateway at a time', async () => {
     const { create } = setUp();
     const [a, b] = [create('a'), create('b')];
     expect(await a.acquire()).not.to.equal(undefined);
     expect(await b.acquire()).to.equal(undefined);
   });
 
-  it('ends by itself, so that a gateway that stood still sends nothing late', async () => {
+  it('expires, so that a paused gateway sends no late orders', async () => {
     const { create, advance } = setUp();
-    const turn = await create('a').acquire();
+    const grant = await create('a').acquire();
     await advance(LEASE_MS);
-    expect(turn?.isValid()).to.equal(false);
+    expect(grant?.isValid()).to.equal(false);
   });
 
-  it('goes at once to a gateway that has just come, where the last turn is long over', async () => {
+  it('is granted at once to a new gateway if the last grant is long over', async () => {
     const { create, advance } = setUp(true);
     const first = await create('a').acquire();
     await advance(20_000);
@@ -97,7 +97,7 @@
   });
 
   for (const hasClock of [true, false]) {
-    it(`never goes to another within the lease time, ${hasClock ? 'by the store’s clock' : 'by watching'}`, async () => {
+    it(`is not granted to another gateway within the lease time, ${hasClock ? 'by the store’s clock' : 'by observation'}`, async () => {
       const { create, advance } = setUp(hasClock);
       const first = await create('a').acquire();
       while (first?.isValid() === true) await advance(50);
@@ -108,7 +108,7 @@
     });
   }
 
-  it('goes to another gateway only a lease time after the last order of the first', async () => {
+  it('is granted to another gateway only a lease time after the last order of the first', async () => {
     const { create, advance } = setUp();
     const [a, b] = [create('a'), create('b')];
     const first = await a.acquire();
--- a/test/roles/suspended-holder.test.ts
+++ b/test/roles/suspended-holder.test.ts
@@ -1,5 +1,4 @@
-// A VM was suspended for some seconds while it held the right to give orders. Its steady clock did not count that time,
-// so its turn still seemed valid after another gateway had taken the right.
+// Guards against a grant that stays valid because the steady clock stops while the VM is suspended.
 import { expect } from 'chai';
 import { createSilentLog } from '../../src/events/index.js';
 import { createOrderLease } from '../../src/roles/index.js';
@@ -23,30 +22,30 @@
   return { lease, time, advance };
 }
 
-describe('a holder of the right to give orders whose VM is suspended', () => {
-  it('has no turn any more after it, though its steady clock stood still', async () => {
+describe('a holder of the order lease whose VM is suspended', () => {
+  it('loses its grant although its steady clock stood still', async () => {
     const { lease, time } = createHolder();
-    const turn = await lease.acquire();
-    expect(turn?.isValid()).to.equal(true);
+    const grant = await lease.acquire();
+    expect(grant?.isValid()).to.equal(true);
     time.ofDay += 5_000;
-    expect(turn?.isValid()).to.equal(false);
+    expect(grant?.isValid()).to.equal(false);
   });
 
-  it('takes a turn anew after it', async () => {
+  it('takes a new grant afterwards', async () => {
     const { lease, time } = createHolder();
     const before = await lease.acquire();
     time.ofDay += 5_000;
-    const turn = await lease.acquire();
-    expect(turn?.isValid()).to.equal(true);
-    expect(turn?.fence).to.be.above(before?.fence ?? Number.NaN);
+    const grant = await lease.acquire();
+    expect(grant?.isValid()).to.equal(true);
+    expect(grant?.fence).to.be.above(before?.fence ?? Number.NaN);
   });
 
-  it('keeps no turn for longer because the time of day jumps back', async () => {
+  it('does not keep its grant longer when the time of day jumps back', async () => {
     const { lease, time, advance } = createHolder();
-    const turn = await lease.acquire();
+    const grant = await lease.acquire();
     time.ofDay -= 60_000;
-    expect(turn?.isValid()).to.equal(true);
+    expect(grant?.isValid()).to.equal(true);
     await advance(LEASE_MS);
-    expect(turn?.isValid()).to.equal(false);
+    expect(grant?.isValid()).to.equal(false);
   });
 });
