--- a/src/lease/lease-monitor.ts
+++ b/src/lease/lease-monitor.ts
@@ -1,11 +1,10 @@
 /**
- * The task that watches other nodes' leases and declares them lapsed in the table, so that what
- * they held can be taken. Each node watches the next few on the ring of names, and whichever nodes
- * it suspects; so the reads do not grow with the number of nodes.
+ * Task that monitors other nodes' leases and marks expired ones as lapsed in the table, so that their
+ * shards can be taken over. Each node monitors its successors on the ring of node names, and the nodes
+ * that it suspects, so that the number of reads per node is independent of the number of nodes.
  *
- * A row that stood unchanged because the table could not be written says nothing of its holder.
- * After an outage of the table the watch begins to count anew; otherwise every outage would cost
- * every node its lease, and all shards would change hands at once.
+ * During a table outage no holder can renew. So a row's unchanged time is counted again from the end of
+ * an outage; otherwise every outage would end all leases and move all shards at once.
  */
 import type { Log } from '../events/index.js';
 import type { TableService } from '../ports/index.js';
@@ -13,92 +12,92 @@
 import { nodeRowKey, nodeRowPrefix, parseNodeRow, type NodeRow } from './rows.js';
 import { isLapsed, observeRevision, type LeaseTerms, type Observation } from './terms.js';
 
-const WATCHED_ON_RING = 2;
+const MONITORED_SUCCESSORS = 2;
 const MAX_ROWS_AT_START = 1_000;
 
-/** The revision that stands for a row which is not there. */
-const ABSENT = 0;
+/** Revision of an absent row. */
+const ABSENT_REVISION = 0;
 
-/** Reads that failed for longer than so many periods were an outage, in which nobody could renew. */
+/** Reads that fail for longer than this many renewal periods count as a table outage. */
 const OUTAGE_PERIODS = 1.5;
 
-/** What the watch needs. */
+/** Dependencies of the lease monitor. */
 export interface LeaseMonitorParts {
   table: TableService;
   clock: Clock;
   log: Log;
   terms: LeaseTerms;
   node: string;
-  /** Names of the nodes that membership knows and hears of. */
+  /** Names of the nodes that are alive according to membership. */
   aliveNodes(): readonly string[];
-  /** Nodes that hold something this node would take over. */
+  /** Holders of shards that this node would take over. */
   suspectedHolders(): string[];
-  /** A node's lease is certainly over. */
+  /** A node's lease has certainly ended. */
   lapsed(row: NodeRow): void;
 }
 
-/** The watch over other nodes' leases. */
+/** Monitor of other nodes' leases. */
 export interface LeaseMonitor {
   start(): Promise<void>;
   stop(): void;
-  /** The row of a node as last read; reads it when it is not watched. */
+  /** Reads a node's row; `undefined` if it is absent or cannot be read. */
   read(node: string): Promise<NodeRow | undefined>;
 }
 
 /**
- * Creates the watch of a node.
+ * Creates the lease monitor of a node.
  *
- * @param parts the table, the clock and whom to watch
+ * @param parts the table, the clock and the nodes to monitor
  */
 export function createLeaseMonitor(parts: LeaseMonitorParts): LeaseMonitor {
   const { table, clock, terms, log } = parts;
   const observations = new Map<string, Observation>();
   const failingSince = new Map<string, number>();
-  const known = new Set<string>();
+  const knownNodes = new Set<string>();
   let timer: Timer | undefined;
   let stopped = false;
 
-  async function round(): Promise<void> {
-    for (const node of chooseWatched()) {
+  async function checkAll(): Promise<void> {
+    for (const node of chooseMonitored()) {
       if (stopped) return;
-      await watch(node);
+      await check(node);
     }
   }
 
-  function chooseWatched(): Set<string> {
-    const watched = new Set(parts.suspectedHolders());
+  function chooseMonitored(): Set<string> {
+    const monitored = new Set(parts.suspectedHolders());
     for (const node of parts.aliveNodes()) {
-      known.add(node);
+      knownNodes.add(node);
     }
-    for (const node of nextOnRing(parts.node, known, WATCHED_ON_RING)) {
-      watched.add(node);
+    for (const node of nextOnRing(parts.node, knownNodes, MONITORED_SUCCESSORS)) {
+      monitored.add(node);
     }
-    watched.delete(parts.node);
-    return watched;
+    monitored.delete(parts.node);
+    return monitored;
   }
 
-  async function watch(node: string): Promise<void> {
+  async function check(node: string): Promise<void> {
     const startedAt = clock.now();
     const read = await table.get(nodeRowKey(node));
     if (read.isErr()) {
       if (!failingSince.has(node)) failingSince.set(node, startedAt);
       return;
     }
-    endFailure(node);
+    endReadFailure(node);
     const row = read.value === undefined ? createEmptyRow(node) : parseNodeRow(read.value.value);
     if (row === undefined) return;
     if (row.state !== 'held') {
-      settle(node, row);
+      reportEnded(node, row);
       return;
     }
     const now = clock.now();
-    const revision = read.value?.revision ?? ABSENT;
+    const revision = read.value?.revision ?? ABSENT_REVISION;
     const observation = observeRevision(observations.get(node), revision, now);
     observations.set(node, observation);
     if (isLapsed(observation, now, terms)) await declareLapsed(node, row, revision);
   }
 
-  function endFailure(node: string): void {
+  function endReadFailure(node: string): void {
     const since = failingSince.get(node);
     if (since === undefined) return;
     failingSince.delete(node);
@@ -106,8 +105,8 @@
     if (failedForMs > OUTAGE_PERIODS * terms.renewEveryMs) observations.delete(node);
   }
 
-  /** The next look is due when a row watched now would have stood unchanged for long enough. */
-  function nextLookInMs(): number {
+  /** Time until the next check: one renewal period, or less if an observed row may lapse earlier. */
+  function resolveCheckDelayMs(): number {
     let delayMs = terms.renewEveryMs;
     for (const { firstSeenAt } of observations.values()) {
       const dueInMs = firstSeenAt + terms.takerMs - clock.now();
@@ -124,21 +123,21 @@
       puts: [{ key, value }],
       deletes: [],
     });
-    // A lost answer is settled by the next round, which reads the row again.
+    // After a conflict or a lost answer, the next check reads the row again.
     if (outcome.kind !== 'committed') return;
     log.write('peerLapsed', { peer: node, leaseId: row.holder.leaseId });
-    settle(node, value);
+    reportEnded(node, value);
   }
 
-  function settle(node: string, row: NodeRow): void {
+  function reportEnded(node: string, row: NodeRow): void {
     observations.delete(node);
-    if (!parts.aliveNodes().includes(node)) known.delete(node);
+    if (!parts.aliveNodes().includes(node)) knownNodes.delete(node);
     parts.lapsed(row);
   }
 
   function step(): void {
-    void round().then(() => {
-      if (!stopped) timer = clock.after(nextLookInMs(), step);
+    void checkAll().then(() => {
+      if (!stopped) timer = clock.after(resolveCheckDelayMs(), step);
     });
   }
 
@@ -146,7 +145,7 @@
     async start() {
       const rows = await table.range({ prefix: nodeRowPrefix, limit: MAX_ROWS_AT_START });
       for (const row of rows.unwrapOr([])) {
-        known.add(row.key.slice(nodeRowPrefix.length));
+        knownNodes.add(row.key.slice(nodeRowPrefix.length));
       }
       step();
     },
@@ -163,8 +162,8 @@
 }
 
 /**
- * Stands for the row of a node that has none, because someone deleted it. Nobody can renew it, so it
- * lapses like any other, and what the node held becomes free.
+ * Creates a substitute for a deleted row. Nobody can renew it, so it lapses, and the node's shards can
+ * be taken over.
  */
 function createEmptyRow(node: string): NodeRow {
   return {
@@ -175,11 +174,11 @@
 }
 
 /**
- * The next names after one on the ring of names.
+ * Returns the names that follow one on the sorted ring of names.
  *
- * @param self where to begin
+ * @param self the name to start from
  * @param names all names, in any order
- * @param count how many to return at most
+ * @param count the maximum number of names to return
  */
 export function nextOnRing(self: string, names: ReadonlySet<string>, count: number): string[] {
   const sorted = [...names].filter((name) => name !== self);
--- a/src/lease/node-lease.ts
+++ b/src/lease/node-lease.ts
@@ -1,6 +1,6 @@
 /**
- * The task that keeps this node's own lease. It joins by waiting until an earlier holder of the
- * same name must have stopped, renews, and tells its owner when the lease is lost.
+ * Task that acquires and renews this node's own lease. Before it acquires the lease, it waits until an
+ * earlier process with the same node name must have stopped.
  */
 import { match } from 'ts-pattern';
 import type { Log } from '../events/index.js';
@@ -15,7 +15,7 @@
   type Observation,
 } from './terms.js';
 
-/** What a node's lease needs. */
+/** Dependencies of a node's lease. */
 export interface NodeLeaseParts {
   table: TableService;
   clock: Clock;
@@ -25,26 +25,26 @@
   incarnation: string;
   peer: string;
   createId(): string;
-  /** The lease is held from now on. */
+  /** Called when the lease was acquired. */
   acquired(holder: LeaseHolder): void;
-  /** The lease is certainly over; whatever was held under it is gone. */
+  /** Called when the lease has certainly ended, and with it everything held under it. */
   lost(holder: LeaseHolder): void;
 }
 
 /** A node's own lease. */
 export interface NodeLease {
   start(): void;
-  /** Gives the lease back, so that nobody has to wait for it to lapse. */
+  /** Releases the lease, so that other nodes need not wait for it to lapse. */
   release(): Promise<void>;
-  /** Whether orders may be given now. */
+  /** Whether orders may be sent now. */
   isValid(): boolean;
-  /** How long the lease may still be relied on, in milliseconds; 0 when it is not valid. */
+  /** Remaining validity of the lease, in milliseconds; 0 if it is not valid. */
   validForMs(): number;
-  /** The identity under which this node holds things; `undefined` before the lease was acquired. */
+  /** The identity of the current lease; `undefined` if none is held. */
   holder(): LeaseHolder | undefined;
 }
 
-/** A release is tried so often; after that others wait until the lease lapses. */
+/** Maximum number of attempts to release; after that the lease lapses. */
 const RELEASE_ATTEMPTS = 3;
 
 type Phase = 'joining' | 'held' | 'released';
@@ -52,7 +52,7 @@
 /**
  * Creates the lease task of a node.
  *
- * @param parts the table, the clock and who hears of gain and loss
+ * @param parts the table, the clock and the callbacks for gain and loss
  */
 export function createNodeLease(parts: NodeLeaseParts): NodeLease {
   const { table, clock, terms, log } = parts;
@@ -62,10 +62,10 @@
   let revision = 0;
   let counter = 0;
   let validUntil = 0;
-  let lapseReported = false;
+  let isLapseReported = false;
   let observation: Observation | undefined;
   let timer: Timer | undefined;
-  let writing: Promise<void> = Promise.resolve();
+  let currentStep: Promise<void> = Promise.resolve();
 
   function isValid(): boolean {
     return phase === 'held' && clock.now() < validUntil;
@@ -76,11 +76,11 @@
     timer = clock.after(delayMs, step);
   }
 
-  /** Calls that took long are followed sooner, so that one lost answer costs no lease. */
+  /** Starts steps at a fixed rate, however long each takes, so that one lost answer does not cost the lease. */
   function step(): void {
     const startedAt = clock.now();
-    writing = advance();
-    void writing.then(() => {
+    currentStep = advance();
+    void currentStep.then(() => {
       schedule(Math.max(0, startedAt + terms.renewEveryMs - clock.now()));
     });
   }
@@ -96,12 +96,12 @@
       log.write('leaseRenewalFailed', { failure: read.error });
       return;
     }
-    if (!mayReplace(read.value)) return;
+    if (!canReplace(read.value)) return;
     await acquire(read.value?.revision ?? 0);
   }
 
-  /** A row still held by another process may be replaced only after it stood unchanged long enough. */
-  function mayReplace(row: Row | undefined): boolean {
+  /** A row held by another process may be replaced only after it was unchanged for long enough. */
+  function canReplace(row: Row | undefined): boolean {
     if (row === undefined) return true;
     const former = parseNodeRow(row.value);
     if (former?.state !== 'held') return true;
@@ -128,24 +128,24 @@
   async function renew(): Promise<void> {
     if (holder === undefined) return;
     const sentAt = clock.now();
-    // Every attempt has its own counter: an earlier attempt that landed late must not pass for
-    // this one, because a taker may have begun to count when that one landed.
+    // Each attempt has its own counter, so that an earlier attempt that landed late is not mistaken
+    // for this one: a taker may have started to count when the earlier one landed.
     counter += 1;
     const written = await write(revision, { holder, state: 'held', counter });
     reportLapse();
     if (written === undefined) return;
     revision = written;
     validUntil = resolveValidUntil(sentAt, terms);
-    lapseReported = false;
+    isLapseReported = false;
   }
 
   function reportLapse(): void {
-    if (isValid() || lapseReported) return;
-    lapseReported = true;
+    if (isValid() || isLapseReported) return;
+    isLapseReported = true;
     log.write('leaseLapsed', {});
   }
 
-  /** @returns the new revision, or `undefined` when the row was not certainly written. */
+  /** @returns the new revision; `undefined` if the write is not known to have landed */
   async function write(expected: number, value: NodeRow): Promise<number | undefined> {
     const outcome = await table.transact({
       conditions: [{ key, revision: expected }],
@@ -162,7 +162,7 @@
       .exhaustive();
   }
 
-  /** After a conflict or a lost answer, the row itself says what became of the write. */
+  /** Reads the row after a conflict or a lost answer, to find out whether the write landed. */
   async function readBack(value: NodeRow): Promise<number | undefined> {
     const read = await table.get(key);
     if (read.isErr()) {
@@ -171,21 +171,21 @@
     }
     const row = read.value;
     const found = row === undefined ? undefined : parseNodeRow(row.value);
-    if (row !== undefined && found !== undefined && isOwn(found, value)) {
+    if (row !== undefined && found !== undefined && isOwnLease(found, value)) {
       if (found.counter === value.counter && found.state === value.state) return row.revision;
       revision = row.revision;
       return undefined;
     }
-    lose();
+    loseLease();
     return undefined;
   }
 
-  function isOwn(found: NodeRow, value: NodeRow): boolean {
-    const isKept = found.state === 'held' || found.state === value.state;
-    return isKept && found.holder.leaseId === value.holder.leaseId;
+  function isOwnLease(found: NodeRow, value: NodeRow): boolean {
+    const isActive = found.state === 'held' || found.state === value.state;
+    return isActive && found.holder.leaseId === value.holder.leaseId;
   }
 
-  function lose(): void {
+  function loseLease(): void {
     observation = undefined;
     if (phase !== 'held' || holder === undefined) return;
     const former = holder;
@@ -202,7 +202,7 @@
     },
     async release() {
       timer?.cancel();
-      await writing;
+      await currentStep;
       timer?.cancel();
       const former = holder;
       const wasHeld = phase === 'held';
--- a/src/lease/rows.ts
+++ b/src/lease/rows.ts
@@ -1,6 +1,5 @@
 /**
- * The rows by which nodes hold leases. One row a node, renewed as a whole, however many shards the
- * node holds.
+ * Lease rows. Each node renews one row, regardless of the number of shards that it holds.
  */
 import * as z from 'zod';
 
@@ -8,19 +7,19 @@
   node: z.string(),
   /** Changes with every start of the process. */
   incarnation: z.string(),
-  /** Changes whenever the lease was lost and acquired again. */
+  /** Changes whenever the lease is lost and acquired again. */
   leaseId: z.string(),
-  /** Where the process listens for peers. Only one process can listen there at a time. */
+  /** Address at which the process listens for peers. Only one process can listen there at a time. */
   peer: z.string(),
 });
 
-/** The identity under which a process holds things. A lease id that is over never comes back. */
+/** The identity under which a process holds its lease and shards. A lease id is never reused. */
 export type LeaseHolder = z.infer<typeof leaseHolderSchema>;
 
 export const nodeRowSchema = z.object({
   holder: leaseHolderSchema,
   state: z.enum(['held', 'released', 'lapsed']),
-  /** Grows with each renewal, so that a renewal whose answer was lost can be recognised. */
+  /** Incremented with each renewal, so that a renewal whose answer was lost can be recognised. */
   counter: z.number().int().nonnegative(),
 });
 
@@ -42,9 +41,9 @@
 }
 
 /**
- * Reads a node row; `undefined` when the value is none.
+ * Parses a node row; `undefined` if the value is not a node row.
  *
- * @param value a row's value as the table gave it
+ * @param value a row's value as read from the table
  */
 export function parseNodeRow(value: unknown): NodeRow | undefined {
   const parsed = nodeRowSchema.safeParse(value);
--- a/test/lease/leases.test.ts
+++ b/test/lease/leases.test.ts
@@ -16,14 +16,14 @@
   forMs: number;
 }
 
-interface Trial {
+interface Scenario {
   seed: number;
   slowShare: number;
   maxDelayMs: number;
   pauses: Pause[];
 }
 
-const trials: fc.Arbitrary<Trial> = fc.record({
+const scenarios: fc.Arbitrary<Scenario> = fc.record({
   seed: fc.integer(),
   slowShare: fc.constantFrom(0, 0.1, 0.4),
   maxDelayMs: fc.constantFrom(500, 2_000, 8_000),
@@ -37,19 +37,19 @@
   ),
 });
 
-/** Runs nodes through a trial; gives the most that believed at once and who believes at the end. */
-async function run(trial: Trial, terms: LeaseTerms, shared = false) {
+/** Runs a scenario; returns how many nodes believed to hold the shard, at most at once and at the end. */
+async function run(scenario: Scenario, terms: LeaseTerms, shared = false) {
   const { clock, advance } = createFakeClock();
   const { table } = createMemoryTable();
-  const random = createSeededRandom(trial.seed);
+  const random = createSeededRandom(scenario.seed);
   const nodes: LeaseNode[] = [];
   let steady = false;
-  const unsteady = (own: Clock) => {
-    const { slowShare, maxDelayMs } = trial;
+  const createTable = (own: Clock) => {
+    const { slowShare, maxDelayMs } = scenario;
     const slow = { clock: own, random, slowShare, maxDelayMs, timeoutMs: 1_000 };
-    const rough = createUnsteadyTable(table, slow);
-    const smooth = createUnsteadyTable(table, { ...slow, slowShare: 0 });
-    const choose = () => (steady ? smooth : rough);
+    const unsteadyTable = createUnsteadyTable(table, slow);
+    const steadyTable = createUnsteadyTable(table, { ...slow, slowShare: 0 });
+    const choose = () => (steady ? steadyTable : unsteadyTable);
     return {
       get: (key: string) => choose().get(key),
       range: (range: Parameters<typeof table.range>[0]) => choose().range(range),
@@ -63,55 +63,58 @@
       name: shared ? 'a' : name,
       incarnation,
       clock,
-      table: unsteady,
+      table: createTable,
       terms,
       nodes,
     });
   }
-  for (const { node, at, forMs } of trial.pauses) {
+  for (const { node, at, forMs } of scenario.pauses) {
     clock.after(at, () => nodes[node]?.clock.pause());
     clock.after(at + forMs, () => nodes[node]?.clock.resume());
   }
-  let most = 0;
+  let maxAtOnce = 0;
   for (let at = 0; at < 45_000; at += 50) {
     steady = at > 30_000;
     await advance(50);
-    most = Math.max(most, nodes.filter((node) => node.believes()).length);
+    maxAtOnce = Math.max(maxAtOnce, nodes.filter((node) => node.believes()).length);
   }
-  return { most, atEnd: nodes.filter((node) => node.believes()).length };
+  return { maxAtOnce, atEnd: nodes.filter((node) => node.believes()).length };
 }
 
 describe('leases', () => {
-  it('let at most one node order a shard, and one in the end, whatever is slow or paused', async () => {
+  it('let at most one node order a shard, and one at the end, with slow tables and paused nodes', async () => {
     await fc.assert(
-      fc.asyncProperty(trials, async (trial) => {
-        expect(await run(trial, leaseTerms)).to.deep.equal({ most: 1, atEnd: 1 });
+      fc.asyncProperty(scenarios, async (scenario) => {
+        expect(await run(scenario, leaseTerms)).to.deep.equal({ maxAtOnce: 1, atEnd: 1 });
       }),
       { numRuns: 40, seed: 20_261 },
     );
   });
 
-  it('let one process at a time hold the lease of a name', async () => {
+  it('let one process at a time hold the lease of a node name', async () => {
     await fc.assert(
-      fc.asyncProperty(trials, async (trial) => {
-        expect((await run(trial, leaseTerms, true)).most).to.be.at.most(1);
+      fc.asyncProperty(scenarios, async (scenario) => {
+        expect((await run(scenario, leaseTerms, true)).maxAtOnce).to.be.at.most(1);
       }),
       { numRuns: 20, seed: 20_262 },
     );
   });
 
-  it('control: a taker that waits less than the holder counts on is found out', async () => {
-    const hasty = { renewEveryMs: 750, holderMs: 4_500, takerMs: 1_500 };
-    const found = await fc.check(
-      fc.asyncProperty(trials, async (trial) => (await run(trial, hasty)).most <= 1),
+  it('control: detects a taker whose limit is shorter than the holder’s', async () => {
+    const unsafeTerms = { renewEveryMs: 750, holderMs: 4_500, takerMs: 1_500 };
+    const result = await fc.check(
+      fc.asyncProperty(
+        scenarios,
+        async (scenario) => (await run(scenario, unsafeTerms)).maxAtOnce <= 1,
+      ),
       { numRuns: 40, seed: 20_261, endOnFailure: true },
     );
-    expect(found.failed).to.equal(true);
+    expect(result.failed).to.equal(true);
   });
 });
 
 describe('a node lease', () => {
-  /** Starts nodes one after the other, so that their periods are apart by `phaseMs`. */
+  /** Starts nodes one after the other, `phaseMs` apart. */
   async function setUp(count = 2, phaseMs = 0) {
     const { clock, advance, runUntil } = createFakeClock();
     const { table, control } = createMemoryTable();
@@ -138,14 +141,14 @@
     return { clock, advance, runUntil, control, reading, holder, other, start, row };
   }
 
-  /** How long it takes until a node believes, in milliseconds. */
+  /** Returns the time until a node believes to hold the shard, in milliseconds. */
   async function timeUntil(node: LeaseNode, clock: Clock, advance: (ms: number) => Promise<void>) {
     const from = clock.now();
     while (!node.believes() && clock.now() - from < 20_000) await advance(10);
     return clock.now() - from;
   }
 
-  it('is taken over within 5 s of its holder’s end, whenever in the round that is', async () => {
+  it('is taken over within 5 s after its holder ends, at any point of the renewal period', async () => {
     for (let offset = 0; offset < 1_000; offset += 90) {
       const { clock, advance, holder, other } = await setUp();
       await advance(offset);
@@ -154,7 +157,7 @@
     }
   });
 
-  it('is taken over at once after a release, also when the answer to the release is lost', async () => {
+  it('is taken over at once after a release, even if the answer to the release is lost', async () => {
     for (const fault of ['none', 'unknown-after-effect', 'unknown-without-effect'] as const) {
       const { clock, advance, runUntil, control, holder, other, row } = await setUp();
       await runUntil(holder.ownership.release());
@@ -166,7 +169,7 @@
     }
   });
 
-  it('outlives a lost renewal that took as long as a call may take', async () => {
+  it('survives a lost renewal that took as long as a call may take', async () => {
     const { clock, advance, control, reading, holder } = await setUp(1);
     reading.delayMs = 200;
     control.beforeTransact = () => wait(clock, 1_000);
@@ -177,7 +180,7 @@
     }
   });
 
-  it('is not replaced by a second process under its name while it renews', async () => {
+  it('is not replaced by a second process with the same name while it is renewed', async () => {
     const { advance, holder, start } = await setUp();
     const second = start(holder.name, `${holder.name}-2`);
     await advance(20_000);
@@ -185,7 +188,7 @@
     expect(second.lease.isValid()).to.equal(false);
   });
 
-  it('passes to a restarted process under the same name', async () => {
+  it('passes to a restarted process with the same name', async () => {
     const { advance, holder, start } = await setUp();
     holder.kill();
     const second = start(holder.name, `${holder.name}-2`);
@@ -193,7 +196,7 @@
     expect(second.lease.isValid()).to.equal(true);
   });
 
-  it('leaves its shards free when its row was deleted and its process is gone', async () => {
+  it('frees its shards if its row was deleted and its process has ended', async () => {
     const { clock, advance, control, holder, other } = await setUp();
     holder.kill();
     control.rows.delete(nodeRowKey(holder.name));
@@ -201,7 +204,7 @@
   });
 
   for (const outageMs of [2_000, 4_700, 30_200]) {
-    it(`keeps what it held through a table outage of ${outageMs} ms, and orders only after it`, async () => {
+    it(`survives a table outage of ${outageMs} ms, and allows orders only after it`, async () => {
       for (let offset = 0; offset < 750; offset += 20) {
         const { advance, control, holder } = await setUp(2, 300);
         await advance(offset);
@@ -217,7 +220,7 @@
     });
   }
 
-  it('passes on when its holder ended during a table outage', async () => {
+  it('is taken over if its holder ended during a table outage', async () => {
     const { clock, advance, control, holder, other } = await setUp();
     control.down = true;
     await advance(10_000);
