--- a/src/caller/commands/call-service.ts
+++ b/src/caller/commands/call-service.ts
@@ -158,7 +158,7 @@
   keyed: KeyedRequest,
   result: Result<ServiceAnswer, Failure>,
 ): Promise<Ending> {
-  const earlier = await parts.claims.look(keyed);
+  const earlier = await parts.claims.findOutcome(keyed);
   if (earlier?.kind === 'answered') return { result: Ok(earlier.answer), isReplayed: true };
   if (earlier?.kind === 'refused') return { result: Err(earlier.failure), isReplayed: true };
   return { result, isReplayed: false };
@@ -185,7 +185,8 @@
 function stillRunning(node: string): Failure {
   return createUnknownOutcome({
     code: 'in-progress',
-    message: 'a request with this key is running; ask again with the same key for its answer',
+    message:
+      'a request with this idempotency key is running; retry with the same key for its answer',
     step: 'claim.settle',
     peer: node,
     retryAfterMs: RETRY_AFTER_MS,
--- a/src/lease/index.ts
+++ b/src/lease/index.ts
@@ -1,5 +1,5 @@
-/** Leases: one a node, without wall clocks. */
-export * from './lapse-watch.js';
+/** Node leases, one per node, timed by monotonic clocks only. */
+export * from './lease-monitor.js';
 export * from './node-lease.js';
 export * from './rows.js';
 export * from './terms.js';
