--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -22,7 +22,7 @@
   createConnections,
   createFront,
   createServerLoads,
-  createWaitRecord,
+  createCallerRetries,
   serveRequest,
   type BackendProtocol,
   type RelayParts,
@@ -164,7 +164,7 @@
     (id, successor) => {
       const isGone = successor !== undefined || fleet.find(id) === undefined;
       if (isGone) quarantine.serverGone(id, successor !== undefined);
-      if (successor !== undefined) connections.breakOff(id, resolveAgeMs(successor));
+      if (successor !== undefined) connections.resetStale(id, resolveAgeMs(successor));
       connections.drop(id);
       health.forget(id);
       if (isGone) backpressure.forget(id);
@@ -299,7 +299,7 @@
     fleet,
     health,
     loads,
-    waits: createWaitRecord(),
+    callerRetries: createCallerRetries(),
     connections,
     budget,
     quarantine,
--- a/src/relay/caller-answer.ts
+++ b/src/relay/caller-answer.ts
@@ -4,7 +4,7 @@
  * caller sees that it is not whole.
  */
 import type { ServerResponse } from 'node:http';
-import type { IncomingHead } from './exchange.js';
+import type { AnswerHead } from './exchange.js';
 import type { BackendProtocol } from './protocol.js';
 
 /** How the answer to a caller ended. */
@@ -13,16 +13,16 @@
 /** The answer to one caller. */
 export interface CallerAnswer {
   isBegun(): boolean;
-  isOver(): boolean;
+  isEnded(): boolean;
   /** Passes a server's status and headers on. */
-  begin(head: IncomingHead): void;
+  begin(head: AnswerHead): void;
   /** Passes bytes on; false when the caller reads too slowly to take more for now. */
   write(bytes: Buffer): boolean;
   /** Calls back once the caller takes bytes again. */
   onDrain(resume: () => void): void;
   finish(): void;
   /** Ends an answer that was begun without its proper end. */
-  cut(): void;
+  abort(): void;
   /** Answers on the gateway's own account. */
   refuse(status: number, message: string, retryAfterMs?: number): void;
 }
@@ -55,7 +55,7 @@
 
   return {
     isBegun: () => begun,
-    isOver: () => over || response.destroyed,
+    isEnded: () => over || response.destroyed,
     begin(head) {
       if (begun || over) return;
       begun = true;
@@ -70,7 +70,7 @@
       over = true;
       response.end();
     },
-    cut() {
+    abort() {
       if (over) return;
       over = true;
       response.destroy();
--- a/src/relay/wait-record.ts
+++ b/src/relay/caller-retries.ts
@@ -7,21 +7,21 @@
 const RETURN_SHARE = 0.95;
 
 /** Knows how long callers wait. */
-export interface WaitRecord {
+export interface CallerRetries {
   /**
    * Takes a caller's wait in and tells whether it has come back.
    *
    * @param route name of the route
    * @param waitMs how long the caller will wait; `undefined` when it did not say
    */
-  isReturn(route: string, waitMs: number | undefined): boolean;
+  isRetry(route: string, waitMs: number | undefined): boolean;
 }
 
 /** Creates an empty record. */
-export function createWaitRecord(): WaitRecord {
+export function createCallerRetries(): CallerRetries {
   const longest = new Map<string, number>();
   return {
-    isReturn(route, waitMs) {
+    isRetry(route, waitMs) {
       if (waitMs === undefined) return false;
       const known = longest.get(route) ?? 0;
       if (waitMs > known) longest.set(route, waitMs);
--- a/src/relay/connections.ts
+++ b/src/relay/connections.ts
@@ -80,7 +80,7 @@
    * @param id the incarnation that is gone
    * @param sinceMs how long ago the other one started, in ms
    */
-  breakOff(id: string, sinceMs: number): void;
+  resetStale(id: string, sinceMs: number): void;
   close(): void;
 }
 
@@ -108,7 +108,7 @@
       agents.delete(id);
       if (agent !== undefined) closeIdle(agent);
     },
-    breakOff(id, sinceMs) {
+    resetStale(id, sinceMs) {
       const agent = agents.get(id);
       if (agent === undefined) return;
       const openedBefore = clock.now() - sinceMs;
--- a/src/relay/engine-placer.ts
+++ b/src/relay/engine-placer.ts
@@ -4,10 +4,10 @@
  */
 import type { RegisteredServer } from '../fleet/index.js';
 import type { Decision, Job, Prompt, ScheduledJob } from '../scheduling/index.js';
-import { resolveHealthOutcome, type ExchangeEnd } from './health-outcome.js';
-import type { PlacedServer, Placing, PlacingContext, Placer } from './placer.js';
-import type { ReadPrompt } from './protocol.js';
-import { readPrompt, type ReadOutcome } from './read-prompt.js';
+import { resolveHealthOutcome, type ExchangeOutcome } from './health-outcome.js';
+import type { PlacedServer, PlacementResult, PlacementContext, Placer } from './placer.js';
+import type { PrefilledPrompt } from './protocol.js';
+import { runPrefill, type PrefillOutcome } from './prefill.js';
 
 /** Asks schedulers, wherever they are. */
 export interface SchedulerClient {
@@ -43,13 +43,13 @@
  * @param scheduler asks for engines
  */
 export function createEnginePlacer(
-  context: PlacingContext,
+  context: PlacementContext,
   prompt: Prompt,
   scheduler: SchedulerClient,
 ): Placer {
   const excluded: string[] = [];
   let scheduled: ScheduledJob | undefined;
-  let kept: ReadPrompt | undefined;
+  let kept: PrefilledPrompt | undefined;
   /** Who has it. */
   let keeper: RegisteredServer | undefined;
   let reads = 0;
@@ -77,13 +77,13 @@
           requestId: context.requestId ?? '',
           prompt,
           rank: context.rank,
-          pauseMs: context.pauseMs,
+          pauseMs: context.maxEventGapMs,
           aimLeftMs: context.aimLeftMs(),
           timeLeftMs: context.timeLeftMs(),
-          isReturn: context.isReturn,
+          isReturn: context.isCallerRetry,
           isRead: kept !== undefined,
-          excluded: [...excluded, ...context.paused()],
-          avoided: context.avoided(),
+          excluded: [...excluded, ...context.pausedServers()],
+          avoided: context.avoidedServers(),
         },
         (decision) => {
           context.signal.removeEventListener('abort', abort);
@@ -94,12 +94,12 @@
   }
 
   /** Ends what the scheduler knows of the request, with what became of it at its engine. */
-  function leave(end?: ExchangeEnd): void {
+  function leave(end?: ExchangeOutcome): void {
     scheduled?.finished(end === undefined ? undefined : resolveHealthOutcome(end));
     scheduled = undefined;
   }
 
-  async function place(): Promise<Placing> {
+  async function place(): Promise<PlacementResult> {
     leave();
     const decision = await submit();
     if (context.signal.aborted) return { kind: 'aborted' };
@@ -122,7 +122,9 @@
   /** An engine of a placement, unless it has come to want nothing since. */
   function findOpen(id: string): RegisteredServer | undefined {
     const server = context.find(id);
-    return server === undefined || context.barrier(server) !== undefined ? undefined : server;
+    return server === undefined || context.withholdReason(server) !== undefined
+      ? undefined
+      : server;
   }
 
   /** How long a read may take: of an engine whose pace is unknown, as long as it can be of use. */
@@ -131,7 +133,7 @@
     return LEAST_READ_LIMIT_MS + READ_PATIENCE * expectedMs;
   }
 
-  function exclude(id: string): Promise<Placing> {
+  function exclude(id: string): Promise<PlacementResult> {
     excluded.push(id);
     return place();
   }
@@ -140,11 +142,11 @@
     reading: RegisteredServer,
     generating: RegisteredServer,
     limitMs: number,
-  ): Promise<Placing> {
+  ): Promise<PlacementResult> {
     // the first reading that succeeds is free; every further one is a send beyond the first
-    if (hasRead && !context.mayAskAgain('read')) return refuseUnread();
+    if (hasRead && !context.mayRetry('read')) return refuseUnread();
     reads += 1;
-    const outcome = await readPrompt(context, reading, limitMs);
+    const outcome = await runPrefill(context, reading, limitMs);
     if (outcome.kind === 'read') {
       scheduled?.promptRead();
       hasRead = true;
@@ -160,32 +162,32 @@
 
   function afterFailedRead(
     reading: RegisteredServer,
-    outcome: Exclude<ReadOutcome, { kind: 'read' | 'aborted' }>,
-  ): Promise<Placing> | Placing {
+    outcome: Exclude<PrefillOutcome, { kind: 'read' | 'aborted' }>,
+  ): Promise<PlacementResult> | PlacementResult {
     excluded.push(reading.id);
     leave(outcome.kind);
     const isFree = outcome.kind === 'unsent' || outcome.kind === 'withheld';
     if (!isFree) context.countAttempt();
-    const isOver = reads >= MAX_READS || (!isFree && !context.mayAskAgain('read'));
+    const isOver = reads >= MAX_READS || (!isFree && !context.mayRetry('read'));
     return isOver ? refuseUnread() : place();
   }
 
-  function refuseUnread(): Placing {
+  function refuseUnread(): PlacementResult {
     const retryAfterMs = UNREAD_RETRY_MS;
     return { kind: 'refused', reason: 'prompt-not-read', retryAfterMs, backlogMs: 0 };
   }
 
-  function placed(server: RegisteredServer, source: ReadPrompt | undefined): PlacedServer {
+  function placed(server: RegisteredServer, source: PrefilledPrompt | undefined): PlacedServer {
     const urgency = Math.min(MAX_URGENCY, context.rank * URGENCY_STEP);
     return { kind: 'placed', server, source, urgency };
   }
 
   return {
     place,
-    begun() {
+    answerBegun() {
       scheduled?.begun();
     },
-    sent(placed, outcome) {
+    sendEnded(placed, outcome) {
       // a server that did not run the request has left the prompt where it was
       const { kind } = outcome;
       const isLeft = kind === 'unsent' || kind === 'withheld' || kind === 'declined';
--- a/src/relay/event-stream.ts
+++ b/src/relay/event-stream.ts
@@ -11,18 +11,18 @@
 }
 
 /** Cuts a stream as it arrives. */
-export interface EventCutter {
+export interface EventSplitter {
   /** Takes bytes in; returns the events that they complete. */
   push(chunk: Buffer): StreamEvent[];
   /** Bytes of an event that is not complete. */
-  rest(): Buffer;
+  remainder(): Buffer;
 }
 
 const BLANK_LINE = /\r\n\r\n|\n\n|\r\r/g;
 const ID_LINE = /(?:^|\n|\r)id: ?([^\r\n]*)/;
 
 /** Creates a cutter at the start of a stream. */
-export function createEventCutter(): EventCutter {
+export function createEventSplitter(): EventSplitter {
   let rest: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
@@ -40,6 +40,6 @@
       rest = bytes.subarray(start);
       return events;
     },
-    rest: () => rest,
+    remainder: () => rest,
   };
 }
--- a/src/relay/exchange.ts
+++ b/src/relay/exchange.ts
@@ -23,11 +23,11 @@
   rawHeaders: readonly string[];
   body: Buffer | undefined;
   /** Asked right before it goes out: why the server wants nothing now, if so. */
-  barrier?: (() => string | undefined) | undefined;
+  withholdReason?: (() => string | undefined) | undefined;
 }
 
 /** The head of an answer. */
-export interface IncomingHead {
+export interface AnswerHead {
   status: number;
   /** Names and values by turns, as on the wire. */
   rawHeaders: readonly string[];
@@ -35,7 +35,7 @@
 }
 
 /** Why an exchange ended without a whole answer. */
-export interface ExchangeLoss {
+export interface ExchangeError {
   /** False only if the server provably received nothing of the request. */
   sent: boolean;
   /** The server wants nothing now, so nothing was sent. */
@@ -47,10 +47,10 @@
 
 /** Hears of an answer as it arrives; `onEnd` or `onLoss` comes last and once. */
 export interface ExchangeReceiver {
-  onHead(head: IncomingHead): void;
+  onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
-  onLoss(loss: ExchangeLoss): void;
+  onError(loss: ExchangeError): void;
 }
 
 /** An exchange under way. */
@@ -98,16 +98,16 @@
     if (finished) return;
     finished = true;
     connectTimer.cancel();
-    receiver.onLoss({ sent, isWithheld: false, aborted: false, reason });
+    receiver.onError({ sent, isWithheld: false, aborted: false, reason });
   }
 
   /** A request may have waited for its connection while the server came to want nothing. */
   function withhold(): boolean {
-    const reason = request.barrier?.();
+    const reason = request.withholdReason?.();
     if (reason === undefined || finished) return false;
     finished = true;
     connectTimer.cancel();
-    receiver.onLoss({ sent: false, isWithheld: true, aborted: false, reason });
+    receiver.onError({ sent: false, isWithheld: true, aborted: false, reason });
     outgoing.destroy();
     return true;
   }
--- a/src/relay/front.ts
+++ b/src/relay/front.ts
@@ -10,8 +10,8 @@
 import type { Clock } from '../task/index.js';
 import { createCallerAnswer } from './caller-answer.js';
 import type { BackendProtocol } from './protocol.js';
-import { statuses } from './ending.js';
-import type { Arrival } from './request.js';
+import { statuses } from './responder.js';
+import type { CallerRequest } from './request.js';
 
 /** Limits before a first configuration is known. */
 const FIRST_LIMITS: CallerLimits = {
@@ -31,7 +31,7 @@
   log: Log;
   protocol: BackendProtocol;
   limits(): CallerLimits | undefined;
-  serve(arrival: Arrival): Promise<void>;
+  serve(arrival: CallerRequest): Promise<void>;
 }
 
 /** The server for callers. */
@@ -109,7 +109,7 @@
       return;
     }
     const { method = 'GET', url: path = '/' } = request;
-    await parts.serve({ method, path, head, body, arrivedAt, answer, left: left.signal });
+    await parts.serve({ method, path, head, body, arrivedAt, answer, callerLeft: left.signal });
   }
 
   return {
--- a/src/relay/health-outcome.ts
+++ b/src/relay/health-outcome.ts
@@ -3,11 +3,11 @@
  */
 import { match } from 'ts-pattern';
 import type { HealthOutcome } from '../fleet/index.js';
-import type { ReadOutcome } from './read-prompt.js';
+import type { PrefillOutcome } from './prefill.js';
 import type { SendOutcome } from './send.js';
 
 /** How a send or a reading ended. */
-export type ExchangeEnd = SendOutcome['kind'] | ReadOutcome['kind'];
+export type ExchangeOutcome = SendOutcome['kind'] | PrefillOutcome['kind'];
 
 /**
  * Tells what a send's end says of its server.
@@ -15,8 +15,8 @@
  * @param end how it ended
  * @returns `undefined` where the end was not the server's doing
  */
-export function resolveHealthOutcome(end: ExchangeEnd): HealthOutcome | undefined {
-  return match<ExchangeEnd, HealthOutcome | undefined>(end)
+export function resolveHealthOutcome(end: ExchangeOutcome): HealthOutcome | undefined {
+  return match<ExchangeOutcome, HealthOutcome | undefined>(end)
     .with('finished', 'read', () => 'good')
     .with('failed', () => 'error')
     .with('declined', () => 'declined')
--- a/src/relay/index.ts
+++ b/src/relay/index.ts
@@ -5,4 +5,4 @@
 export * from './protocol.js';
 export * from './request.js';
 export * from './service-placer.js';
-export * from './wait-record.js';
+export * from './caller-retries.js';
--- a/src/relay/next-move.ts
+++ b/src/relay/next-step.ts
@@ -18,7 +18,7 @@
 }
 
 /** What comes next. */
-export type Move =
+export type NextStep =
   | { kind: 'done' }
   /** Ask another server; `costs` says whether the budget must allow it. */
   | { kind: 'again'; costs: boolean; reason: string }
@@ -42,16 +42,16 @@
  * @param route the route of the request
  * @param progress what is known of the request, this send included
  */
-export function resolveMove(outcome: SendOutcome, route: Route, progress: Progress): Move {
+export function resolveNextStep(outcome: SendOutcome, route: Route, progress: Progress): NextStep {
   const mayRepeat = isRepeatable(route);
   const hasAttempts = progress.attempts < route.maxAttempts;
 
-  function giveUp(reason: string): Move {
+  function giveUp(reason: string): NextStep {
     return progress.mayHaveRun ? { kind: 'fail', reason } : { kind: 'refuse', reason };
   }
 
   return (
-    match<SendOutcome, Move>(outcome)
+    match<SendOutcome, NextStep>(outcome)
       .with({ kind: 'finished' }, () => ({ kind: 'done' }))
       .with({ kind: 'aborted' }, () => ({ kind: 'stop' }))
       .with({ kind: 'unsent' }, ({ reason }) => {
--- a/src/relay/read-prompt.ts
+++ b/src/relay/prefill.ts
@@ -3,13 +3,13 @@
  */
 import { resolveServerName, type RegisteredServer } from '../fleet/index.js';
 import { setPeerTimeout } from '../task/index.js';
-import type { IncomingHead } from './exchange.js';
-import type { PlacingContext } from './placer.js';
-import { isOther } from './send.js';
+import type { AnswerHead } from './exchange.js';
+import type { PlacementContext } from './placer.js';
+import { isOtherIncarnation } from './send.js';
 import type { AnswerFacts } from './protocol.js';
 
 /** What came of reading a prompt. */
-export type ReadOutcome =
+export type PrefillOutcome =
   | { kind: 'read'; handle: string }
   | { kind: 'declined'; status: number }
   | { kind: 'unsent'; reason: string }
@@ -27,19 +27,19 @@
  * @param server the engine that is to read
  * @param limitMs how long the reading may take, in milliseconds
  */
-export function readPrompt(
-  context: PlacingContext,
+export function runPrefill(
+  context: PlacementContext,
   server: RegisteredServer,
   limitMs: number,
-): Promise<ReadOutcome> {
+): Promise<PrefillOutcome> {
   const { protocol } = context;
   if (context.signal.aborted) return Promise.resolve({ kind: 'aborted' });
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    let head: IncomingHead | undefined;
+    let head: AnswerHead | undefined;
     let facts: AnswerFacts | undefined;
     let settled = false;
-    const sent = context.sent(server);
+    const sent = context.watchSend(server);
 
     const exchange = context.start(
       server,
@@ -48,7 +48,7 @@
         onHead(received) {
           head = received;
           facts = protocol.readAnswer(received);
-          context.heard(server, received, facts);
+          context.headReceived(server, received, facts);
         },
         onData(chunk) {
           chunks.push(chunk);
@@ -56,7 +56,7 @@
         onEnd() {
           settle(judgeAnswer());
         },
-        onLoss(loss) {
+        onError(loss) {
           const { reason } = loss;
           if (loss.isWithheld) settle({ kind: 'withheld', reason });
           else settle({ kind: loss.sent ? 'lost' : 'unsent', reason });
@@ -74,7 +74,7 @@
       settle({ kind: 'aborted' });
     }
 
-    function judgeAnswer(): ReadOutcome {
+    function judgeAnswer(): PrefillOutcome {
       const status = head?.status ?? 0;
       if (facts?.isDeclined === true) return { kind: 'declined', status };
       const isOurs = facts?.requestId === undefined || facts.requestId === context.requestId;
@@ -85,14 +85,18 @@
       return { kind: 'read', handle };
     }
 
-    function settle(outcome: ReadOutcome): void {
+    function settle(outcome: PrefillOutcome): void {
       if (settled) return;
       settled = true;
       limit.cancel();
       context.signal.removeEventListener('abort', abort);
       if (outcome.kind === 'lost') void sent.lost();
-      context.judge(server, outcome.kind, isOther(facts, resolveServerName(server)));
-      context.readEnded(server, outcome);
+      context.recordHealth(
+        server,
+        outcome.kind,
+        isOtherIncarnation(facts, resolveServerName(server)),
+      );
+      context.prefillEnded(server, outcome);
       resolve(outcome);
     }
   });
--- a/src/relay/protocol.ts
+++ b/src/relay/protocol.ts
@@ -4,7 +4,7 @@
  */
 import type { ServerSignals } from '../backpressure/index.js';
 import type { Prompt } from '../scheduling/prompt.js';
-import type { IncomingHead } from './exchange.js';
+import type { AnswerHead } from './exchange.js';
 
 /** The head of a caller's request, decoded. */
 export interface CallerHead {
@@ -21,7 +21,7 @@
 }
 
 /** A prompt that was read and waits at an engine for its generation. */
-export interface ReadPrompt {
+export interface PrefilledPrompt {
   /** `host:port` of the engine that read it. */
   address: string;
   /** Names the prompt's KV cache at that engine. */
@@ -39,7 +39,7 @@
   /** Only read the prompt and keep its KV cache for another engine. */
   isPrefill?: boolean | undefined;
   /** Continue from a prompt that was read elsewhere. */
-  source?: ReadPrompt | undefined;
+  source?: PrefilledPrompt | undefined;
   /** Continue a stream after this event. */
   lastEventId?: string | undefined;
 }
@@ -71,13 +71,13 @@
   readCaller(rawHeaders: readonly string[]): CallerHead;
   /** Headers of one send, names and values by turns. */
   sendHeaders(head: CallerHead, terms: SendTerms, bodyBytes: number): string[];
-  readAnswer(head: IncomingHead): AnswerFacts;
+  readAnswer(head: AnswerHead): AnswerFacts;
   /** Headers of an answer that go on to the caller, names and values by turns. */
-  answerHeaders(head: IncomingHead): string[];
+  answerHeaders(head: AnswerHead): string[];
   /** Headers of a refusal or failure of the gateway's own. */
   refusalHeaders(requestId: string | undefined, retryAfterMs: number | undefined): string[];
   /** The handle in the answer to a prefill; `undefined` when there is none. */
   parseHandle(body: Buffer): string | undefined;
   /** Method and path that free a read prompt. */
-  releaseCall(prompt: ReadPrompt): { method: string; path: string };
+  releaseCall(prompt: PrefilledPrompt): { method: string; path: string };
 }
--- a/src/relay/release-prompt.ts
+++ b/src/relay/release-prompt.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../task/index.js';
 import type { Connections } from './connections.js';
 import { startExchange } from './exchange.js';
-import type { BackendProtocol, ReadPrompt } from './protocol.js';
+import type { BackendProtocol, PrefilledPrompt } from './protocol.js';
 import type { ServerGate } from './server-gate.js';
 
 /** What it needs. */
@@ -30,7 +30,7 @@
  */
 export function releasePrompt(
   parts: ReleaseParts,
-  prompt: ReadPrompt,
+  prompt: PrefilledPrompt,
   server: RegisteredServer,
 ): void {
   const { clock, log, protocol, gate, requestId } = parts;
@@ -52,11 +52,11 @@
     clock,
     {
       onHead(head) {
-        gate.heard(server, head, protocol.readAnswer(head));
+        gate.headReceived(server, head, protocol.readAnswer(head));
       },
       onData: () => undefined,
       onEnd: () => undefined,
-      onLoss({ reason }) {
+      onError({ reason }) {
         noteFailure(reason);
       },
     },
--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -18,18 +18,18 @@
 import { wait, type Clock, type RandomSource, type Timer } from '../task/index.js';
 import type { CallerAnswer } from './caller-answer.js';
 import type { Connections } from './connections.js';
-import { createEnding, statuses } from './ending.js';
+import { createResponder, statuses } from './responder.js';
 import { createEnginePlacer, type SchedulerClient } from './engine-placer.js';
 import { startExchange, type OutgoingRequest } from './exchange.js';
-import { resolveHealthOutcome, type ExchangeEnd } from './health-outcome.js';
-import { isRepeatable, resolveMove, type Move, type Progress } from './next-move.js';
-import type { PlacedServer, Placer, PlacingContext } from './placer.js';
+import { resolveHealthOutcome, type ExchangeOutcome } from './health-outcome.js';
+import { isRepeatable, resolveNextStep, type NextStep, type Progress } from './next-step.js';
+import type { PlacedServer, Placer, PlacementContext } from './placer.js';
 import type { BackendProtocol, CallerHead, SendTerms } from './protocol.js';
 import { releasePrompt } from './release-prompt.js';
 import { sendOnce, type SendOutcome } from './send.js';
 import { createServerGate } from './server-gate.js';
 import { createServicePlacer, type ServerLoads } from './service-placer.js';
-import type { WaitRecord } from './wait-record.js';
+import type { CallerRetries } from './caller-retries.js';
 
 /** Time after which callers are told to come back while there is no configuration yet, in ms. */
 const NOT_READY_RETRY_MS = 300;
@@ -60,7 +60,7 @@
   fleet: Fleet;
   health: FleetHealth;
   loads: ServerLoads;
-  waits: WaitRecord;
+  callerRetries: CallerRetries;
   connections: Connections;
   budget: SendBudget;
   quarantine: Quarantine;
@@ -75,7 +75,7 @@
 }
 
 /** A request that was read whole. */
-export interface Arrival {
+export interface CallerRequest {
   method: string;
   path: string;
   head: CallerHead;
@@ -84,7 +84,7 @@
   arrivedAt: number;
   answer: CallerAnswer;
   /** Ends when the caller leaves. */
-  left: AbortSignal;
+  callerLeft: AbortSignal;
 }
 
 /**
@@ -93,7 +93,7 @@
  * @param parts what all requests share
  * @param arrival the request
  */
-export async function serveRequest(parts: RelayParts, arrival: Arrival): Promise<void> {
+export async function serveRequest(parts: RelayParts, arrival: CallerRequest): Promise<void> {
   const { head, answer } = arrival;
   const index = parts.routes.index();
   if (index === undefined) {
@@ -119,7 +119,7 @@
   }
 }
 
-function createRequest(parts: RelayParts, arrival: Arrival, route: Route, service: string) {
+function createRequest(parts: RelayParts, arrival: CallerRequest, route: Route, service: string) {
   const { clock, log, metrics, protocol } = parts;
   const { head, answer, arrivedAt } = arrival;
   const requestId = head.requestId;
@@ -143,7 +143,12 @@
   let ban: Ban | undefined;
   const watched = parts.quarantine.watch(fingerprint, service, stopBanned);
 
-  const { refuse, fail, passFailure, end } = createEnding({
+  const {
+    refuse,
+    fail,
+    forwardFailure: passFailure,
+    recordOutcome: end,
+  } = createResponder({
     parts,
     arrival,
     service,
@@ -158,22 +163,22 @@
     requestId,
   });
 
-  const context: PlacingContext = {
+  const context: PlacementContext = {
     clock,
     protocol,
     requestId,
     service,
     rank: route.rank,
-    pauseMs: route.pauseMs,
-    isReturn: parts.waits.isReturn(route.name, head.waitMs),
+    maxEventGapMs: route.pauseMs,
+    isCallerRetry: parts.callerRetries.isRetry(route.name, head.waitMs),
     signal: giveUp.signal,
     aimLeftMs: () => route.aimMs - (clock.now() - arrivedAt),
     timeLeftMs: () => endAt - clock.now(),
     find: (id) => parts.fleet.find(id),
-    barrier: gate.barrier,
-    paused: () => parts.backpressure.paused(),
+    withholdReason: gate.withholdReason,
+    pausedServers: () => parts.backpressure.paused(),
     msUntilResumed: gate.msUntilResumed,
-    avoided() {
+    avoidedServers() {
       const found = [...watched.beside()];
       for (const { id } of parts.fleet.available(service)) {
         if (!parts.health.isUsable(id)) found.push(id);
@@ -187,15 +192,15 @@
         clock,
         receiver,
       ),
-    sent: watched.sent,
+    watchSend: watched.sent,
     countAttempt() {
       progress.attempts += 1;
     },
-    mayAskAgain: (reason) => progress.attempts < route.maxAttempts && spend(reason),
+    mayRetry: (reason) => progress.attempts < route.maxAttempts && spend(reason),
     release(prompt, server) {
       releasePrompt({ ...parts, gate, requestId }, prompt, server);
     },
-    readEnded(server, outcome) {
+    prefillEnded(server, outcome) {
       if (outcome.kind === 'withheld') metrics.withheld.inc({ reason: outcome.reason });
       log.write('promptRead', {
         request: requestId,
@@ -207,8 +212,8 @@
         ms: Math.round(clock.now() - arrivedAt),
       });
     },
-    heard: gate.heard,
-    judge,
+    headReceived: gate.headReceived,
+    recordHealth: judge,
   };
 
   function outgoing(
@@ -222,7 +227,7 @@
       path,
       rawHeaders: protocol.sendHeaders(head, all, body?.length ?? 0),
       body,
-      barrier: () => gate.barrier(server),
+      withholdReason: () => gate.withholdReason(server),
     };
   }
 
@@ -233,7 +238,7 @@
     return isAllowed;
   }
 
-  function judge(server: RegisteredServer, end: ExchangeEnd, isOtherServer: boolean): void {
+  function judge(server: RegisteredServer, end: ExchangeOutcome, isOtherServer: boolean): void {
     if (isOtherServer) parts.fleet.retire(server.id, 'another incarnation has its address');
     const outcome = resolveHealthOutcome(end);
     if (outcome !== undefined) parts.health.record(server.id, outcome);
@@ -274,22 +279,22 @@
         isStream: route.isStream,
         isContinuation: progress.isBegun,
         signal: giveUp.signal,
-        patienceMs: resolvePatience(),
-        mayLetGo: () => parts.budget.hasLeft(service),
-        passed(eventId) {
+        answerTimeoutMs: resolvePatience(),
+        mayTryAnother: () => parts.budget.hasLeft(service),
+        eventForwarded(eventId) {
           lastEventId = eventId ?? lastEventId;
         },
-        begun() {
-          placer.begun();
+        answerBegun() {
+          placer.answerBegun();
           if (progress.isBegun) return;
           progress.isBegun = true;
           metrics.firstByte.observe({ service }, (clock.now() - arrivedAt) / 1_000);
         },
-        loaded(load) {
+        loadReceived(load) {
           parts.loads.record(server.id, load);
         },
-        heard(head, facts) {
-          gate.heard(server, head, facts);
+        headReceived(head, facts) {
+          gate.headReceived(server, head, facts);
         },
       },
       protocol,
@@ -337,9 +342,9 @@
     }
     const outcome = await send(placing, placer);
     count(outcome);
-    placer.sent(placing, outcome);
+    placer.sendEnded(placing, outcome);
     judge(placing.server, outcome.kind, outcome.kind === 'declined' && outcome.isOtherServer);
-    const move = resolveMove(outcome, route, progress);
+    const move = resolveNextStep(outcome, route, progress);
     log.write('sendEnded', {
       request: requestId,
       server: placing.server.id,
@@ -352,7 +357,7 @@
     return follow(move, outcome);
   }
 
-  function follow(move: Move, outcome: SendOutcome): boolean {
+  function follow(move: NextStep, outcome: SendOutcome): boolean {
     if (move.kind === 'again') {
       if (!move.costs || spend(move.reason)) return true;
       giveUpSending(outcome, 'the retry budget is spent');
@@ -420,15 +425,15 @@
       function leave(): void {
         giveUp.abort();
       }
-      arrival.left.addEventListener('abort', leave);
-      if (arrival.left.aborted) leave();
+      arrival.callerLeft.addEventListener('abort', leave);
+      if (arrival.callerLeft.aborted) leave();
       try {
         while (await attempt(placer)) {
           // each turn is one send
         }
       } finally {
         timer.cancel();
-        arrival.left.removeEventListener('abort', leave);
+        arrival.callerLeft.removeEventListener('abort', leave);
         placer.close();
       }
     },
--- a/src/relay/ending.ts
+++ b/src/relay/responder.ts
@@ -3,8 +3,8 @@
  * of the gateway's own (it may have run). What was begun and can't be finished is cut.
  */
 import type { Ban } from '../quarantine/index.js';
-import type { Progress } from './next-move.js';
-import type { Arrival, RelayParts } from './request.js';
+import type { Progress } from './next-step.js';
+import type { CallerRequest, RelayParts } from './request.js';
 import type { SendOutcome } from './send.js';
 
 /** Statuses of the gateway's own answers. */
@@ -20,9 +20,9 @@
 } as const;
 
 /** What an ending goes by. */
-export interface EndingParts {
+export interface ResponderParts {
   parts: Pick<RelayParts, 'clock' | 'log' | 'metrics'>;
-  arrival: Arrival;
+  arrival: CallerRequest;
   service: string;
   progress: Progress;
   /** Why no server may be given the request any more, if so. */
@@ -30,15 +30,15 @@
 }
 
 /** The ways in which a request ends. */
-export interface Ending {
+export interface Responder {
   /** Passes a server's own failure on. */
-  passFailure: (outcome: SendOutcome & { kind: 'failed' }) => void;
+  forwardFailure: (outcome: SendOutcome & { kind: 'failed' }) => void;
   /** Answers that it did not run, or that it may have, where it may. */
   refuse: (reason: string, retryAfterMs: number, backlogMs: number) => void;
   /** Answers that it may have run. */
   fail: (status: number, reason: string) => void;
   /** Counts an end. */
-  end: (outcome: string) => void;
+  recordOutcome: (outcome: string) => void;
 }
 
 /**
@@ -46,7 +46,7 @@
  *
  * @param terms the request, and what is known of it
  */
-export function createEnding(terms: EndingParts): Ending {
+export function createResponder(terms: ResponderParts): Responder {
   const { parts, arrival, service, progress } = terms;
   const { clock, log, metrics } = parts;
   const { answer, arrivedAt } = arrival;
@@ -92,7 +92,7 @@
       isBegun: progress.isBegun,
       ms: Math.round(clock.now() - arrivedAt),
     });
-    if (progress.isBegun) answer.cut();
+    if (progress.isBegun) answer.abort();
     else answer.refuse(status, `may have run: ${reason}`);
     end('failed');
   }
@@ -102,5 +102,5 @@
     metrics.duration.observe({ service }, (clock.now() - arrivedAt) / 1_000);
   }
 
-  return { passFailure, refuse, fail, end };
+  return { forwardFailure: passFailure, refuse, fail, recordOutcome: end };
 }
--- a/src/relay/send.ts
+++ b/src/relay/send.ts
@@ -8,13 +8,8 @@
 import { resolveServerName, type RegisteredServer } from '../fleet/index.js';
 import { setPeerTimeout, type Clock } from '../task/index.js';
 import type { CallerAnswer } from './caller-answer.js';
-import { createEventCutter } from './event-stream.js';
-import {
-  startExchange,
-  type Exchange,
-  type IncomingHead,
-  type OutgoingRequest,
-} from './exchange.js';
+import { createEventSplitter } from './event-stream.js';
+import { startExchange, type Exchange, type AnswerHead, type OutgoingRequest } from './exchange.js';
 import type { AnswerFacts, BackendProtocol, ServerLoad } from './protocol.js';
 
 /** Bytes of an answer that are collected before it is passed on while it still arrives. */
@@ -25,7 +20,7 @@
   /** The whole answer was passed on. */
   | { kind: 'finished'; status: number }
   /** The server answered with a failure of its own, which was not passed on. */
-  | { kind: 'failed'; head: IncomingHead; body: Buffer }
+  | { kind: 'failed'; head: AnswerHead; body: Buffer }
   /** The server did not run the request. */
   | { kind: 'declined'; status: number; isOtherServer: boolean }
   /** The server received nothing. */
@@ -51,17 +46,17 @@
   isContinuation: boolean;
   signal: AbortSignal;
   /** Time until the answer has to begin, in ms; `undefined` where it is waited for to the end. */
-  patienceMs: number | undefined;
+  answerTimeoutMs: number | undefined;
   /** Asked once that time is over: whether another server may be asked instead. */
-  mayLetGo(): boolean;
+  mayTryAnother(): boolean;
   /** Hears of each event that was passed on. */
-  passed(eventId: string | undefined): void;
+  eventForwarded(eventId: string | undefined): void;
   /** Hears of the first byte of a good answer. */
-  begun(): void;
+  answerBegun(): void;
   /** Hears of the server's load. */
-  loaded(load: ServerLoad): void;
+  loadReceived(load: ServerLoad): void;
   /** Hears what the head of the answer says. */
-  heard(head: IncomingHead, facts: AnswerFacts): void;
+  headReceived(head: AnswerHead, facts: AnswerFacts): void;
 }
 
 /**
@@ -78,20 +73,20 @@
 ): Promise<SendOutcome> {
   if (send.signal.aborted) return Promise.resolve({ kind: 'aborted' });
   return new Promise((resolve) => {
-    let head: IncomingHead | undefined;
+    let head: AnswerHead | undefined;
     let facts: AnswerFacts | undefined;
     let collected: Buffer[] = [];
     let collectedBytes = 0;
     let passing = false;
     let settled = false;
-    const cutter = send.isStream ? createEventCutter() : undefined;
+    const cutter = send.isStream ? createEventSplitter() : undefined;
 
     const exchange: Exchange = startExchange(send.request, send.agent, clock, {
       onHead(received) {
         head = received;
         facts = protocol.readAnswer(received);
-        if (facts.load !== undefined) send.loaded(facts.load);
-        send.heard(received, facts);
+        if (facts.load !== undefined) send.loadReceived(facts.load);
+        send.headReceived(received, facts);
         const flaw = findFlaw(facts, received, send.requestId);
         if (flaw === undefined) return;
         settle({ kind: 'lost', reason: flaw });
@@ -106,7 +101,7 @@
       onEnd() {
         finish();
       },
-      onLoss(loss) {
+      onError(loss) {
         if (loss.isWithheld) settle({ kind: 'withheld', reason: loss.reason });
         else if (!loss.sent) settle({ kind: 'unsent', reason: loss.reason });
         else if (facts?.isDeclined === true) settleDeclined();
@@ -114,7 +109,7 @@
       },
     });
     send.signal.addEventListener('abort', abort);
-    const { patienceMs } = send;
+    const { answerTimeoutMs: patienceMs } = send;
     const patience =
       patienceMs === undefined
         ? undefined
@@ -123,7 +118,7 @@
           });
 
     function letGo(waitedMs: number): void {
-      if (head !== undefined || !send.mayLetGo()) return;
+      if (head !== undefined || !send.mayTryAnother()) return;
       exchange.abort();
       settle({ kind: 'overdue', reason: `no answer within ${Math.round(waitedMs)} ms` });
     }
@@ -154,7 +149,7 @@
       if (passing || head === undefined) return;
       passing = true;
       if (!send.isContinuation) send.answer.begin(head);
-      send.begun();
+      send.answerBegun();
     }
 
     function passPlain(chunk: Buffer): void {
@@ -175,7 +170,7 @@
       for (const event of cutter?.push(chunk) ?? []) {
         begin();
         pass(event.bytes);
-        send.passed(event.id);
+        send.eventForwarded(event.id);
       }
     }
 
@@ -188,7 +183,7 @@
     }
 
     function settleDeclined(): void {
-      const isOtherServer = isOther(facts, resolveServerName(send.server));
+      const isOtherServer = isOtherIncarnation(facts, resolveServerName(send.server));
       settle({ kind: 'declined', status: head?.status ?? 0, isOtherServer });
     }
 
@@ -202,7 +197,7 @@
         settle({ kind: 'failed', head, body: Buffer.concat(collected) });
         return;
       }
-      if (cutter !== undefined && cutter.rest().length > 0) {
+      if (cutter !== undefined && cutter.remainder().length > 0) {
         settle({ kind: 'lost', reason: 'the stream ended within an event' });
         return;
       }
@@ -215,14 +210,14 @@
 }
 
 /** Whether a server that declined is another incarnation than the one that was meant. */
-export function isOther(facts: AnswerFacts | undefined, expected: string): boolean {
+export function isOtherIncarnation(facts: AnswerFacts | undefined, expected: string): boolean {
   return facts?.isDeclined === true && facts.serverId !== undefined && facts.serverId !== expected;
 }
 
 /** What makes an answer one that cannot be passed on; `undefined` for a sound one. */
 function findFlaw(
   facts: AnswerFacts,
-  head: IncomingHead,
+  head: AnswerHead,
   requestId: string | undefined,
 ): string | undefined {
   if (facts.isDeclined) return undefined;
--- a/src/relay/server-gate.ts
+++ b/src/relay/server-gate.ts
@@ -4,7 +4,7 @@
  */
 import type { Backpressure } from '../backpressure/index.js';
 import { resolveServerName, type Fleet, type RegisteredServer } from '../fleet/index.js';
-import type { IncomingHead } from './exchange.js';
+import type { AnswerHead } from './exchange.js';
 import type { AnswerFacts } from './protocol.js';
 import { isSuccess } from './send.js';
 
@@ -21,12 +21,12 @@
 /** Whether servers want anything. */
 export interface ServerGate {
   /** Why a server is to get nothing now, if so. */
-  barrier: (server: RegisteredServer) => string | undefined;
+  withholdReason: (server: RegisteredServer) => string | undefined;
   isPaused(server: RegisteredServer): boolean;
   /** Time until the first pause that the service's servers asked for is over, in ms; 0 where there is none. */
   msUntilResumed: () => number;
   /** Takes in what the head of an answer says of its server. */
-  heard: (server: RegisteredServer, head: IncomingHead, facts: AnswerFacts) => void;
+  headReceived: (server: RegisteredServer, head: AnswerHead, facts: AnswerFacts) => void;
 }
 
 /**
@@ -42,7 +42,7 @@
   }
 
   return {
-    barrier(server) {
+    withholdReason(server) {
       if (!fleet.isAvailable(server.id)) return 'the server leaves';
       return isPaused(server) ? 'the server asked for a pause' : undefined;
     },
@@ -55,7 +55,7 @@
       }
       return Number.isFinite(leastMs) ? leastMs : 0;
     },
-    heard(server, head, facts) {
+    headReceived(server, head, facts) {
       const { serverId, signals } = facts;
       // an answer of another incarnation says nothing of the one that was asked
       if (serverId !== undefined && serverId !== resolveServerName(server)) return;
--- a/src/relay/service-placer.ts
+++ b/src/relay/service-placer.ts
@@ -5,7 +5,7 @@
 import type { Backpressure } from '../backpressure/index.js';
 import type { FleetHealth, RegisteredServer } from '../fleet/index.js';
 import type { Clock, RandomSource } from '../task/index.js';
-import type { Placer, Placing } from './placer.js';
+import type { Placer, PlacementResult } from './placer.js';
 import type { ServerLoad } from './protocol.js';
 
 /** After this long a server's word on its load counts for nothing, in ms: a few services' worth of
@@ -27,7 +27,7 @@
   started(id: string): void;
   ended(id: string): void;
   /** How busy a server is, in shares of its slots. */
-  busyness(server: RegisteredServer): number;
+  utilization(server: RegisteredServer): number;
 }
 
 /**
@@ -50,7 +50,7 @@
       if (left > 0) own.set(id, left);
       else own.delete(id);
     },
-    busyness(server) {
+    utilization(server) {
       const word = words.get(server.id);
       const age = word === undefined ? LOAD_MEMORY_MS : clock.now() - word.at;
       const weight = Math.max(0, 1 - age / LOAD_MEMORY_MS);
@@ -61,7 +61,7 @@
 }
 
 /** What the placer of one request goes by. */
-export interface ServicePlacing {
+export interface ServicePlacementState {
   /** Whether it may take the last room at a server that has named a limit. */
   isUrgent: boolean;
   backpressure: Pick<Backpressure, 'limits' | 'msUntilOpen' | 'allow'>;
@@ -79,10 +79,10 @@
  *
  * @param look reads the servers as they are now
  */
-export function createServicePlacer(look: () => ServicePlacing): Placer {
+export function createServicePlacer(look: () => ServicePlacementState): Placer {
   const tried = new Set<string>();
 
-  function choose(placing: ServicePlacing): RegisteredServer | undefined {
+  function choose(placing: ServicePlacementState): RegisteredServer | undefined {
     const { servers, zone, health, loads, avoided, random, backpressure } = placing;
     let best: RegisteredServer | undefined;
     let bestRank = Number.POSITIVE_INFINITY;
@@ -91,7 +91,7 @@
       const isFit = health.isUsable(server.id) && !avoided.includes(server.id);
       const reluctance = isFit ? 0 : Number.MAX_SAFE_INTEGER / 2;
       const distance = server.zone === zone ? 0 : ZONE_PREFERENCE;
-      const rank = loads.busyness(server) + distance + SPREAD * random.next() + reluctance;
+      const rank = loads.utilization(server) + distance + SPREAD * random.next() + reluctance;
       if (rank >= bestRank) continue;
       best = server;
       bestRank = rank;
@@ -111,7 +111,7 @@
     }
   }
 
-  function refuse(): Placing {
+  function refuse(): PlacementResult {
     const { servers, backpressure, random } = look();
     let openMs = Number.POSITIVE_INFINITY;
     for (const { id } of servers) {
@@ -125,17 +125,17 @@
   }
 
   return {
-    async place(): Promise<Placing> {
+    async place(): Promise<PlacementResult> {
       const server = await find();
       if (server === undefined) return refuse();
       tried.add(server.id);
       look().loads.started(server.id);
       return { kind: 'placed', server, source: undefined, urgency: undefined };
     },
-    begun() {
+    answerBegun() {
       // the server's load is told by its answer
     },
-    sent({ server }) {
+    sendEnded({ server }) {
       look().loads.ended(server.id);
     },
     close() {
--- a/test/relay/connections.test.ts
+++ b/test/relay/connections.test.ts
@@ -38,7 +38,7 @@
     await send('before');
     await advance(1_000);
     await send('since');
-    connections.breakOff('s@1', 400);
+    connections.resetStale('s@1', 400);
     connections.drop('s@1');
     await new Promise((resolve) => setTimeout(resolve, 20));
     expect(ended).to.deep.equal(['before ECONNRESET']);
--- a/tools/soak/controls.ts
+++ b/tools/soak/controls.ts
@@ -22,14 +22,14 @@
 export const controls: readonly Control[] = [
   {
     name: 'requests that may run once are sent again',
-    file: 'src/relay/next-move.ts',
+    file: 'src/relay/next-step.ts',
     from: 'if (!mayRepeat || !hasAttempts || !canContinue)',
     to: 'if (!canContinue)',
     finds: /ran \d+ times/,
   },
   {
     name: 'what may have run is refused as not run',
-    file: 'src/relay/ending.ts',
+    file: 'src/relay/responder.ts',
     from: 'badGateway: 502',
     to: 'badGateway: 503',
     finds: /was refused with 503 and ran/,
