--- a/src/relay/release-prompt.ts
+++ b/src/relay/release-prompt.ts
@@ -1,5 +1,5 @@
 /**
- * Frees a prompt that was read and that nobody will generate from, so that its engine has the memory back at once.
+ * Releases an unused prefilled prompt, so that its engine can free the memory at once.
  */
 import type { Log } from '../events/index.js';
 import type { Backpressure } from '../backpressure/index.js';
@@ -7,10 +7,10 @@
 import type { Clock } from '../task/index.js';
 import type { Connections } from './connections.js';
 import { startExchange } from './exchange.js';
-import type { BackendProtocol, ReadPrompt } from './protocol.js';
+import type { BackendProtocol, PrefilledPrompt } from './protocol.js';
 import type { ServerGate } from './server-gate.js';
 
-/** What it needs. */
+/** What releasing a prompt needs. */
 export interface ReleaseParts {
   clock: Clock;
   log: Log;
@@ -22,26 +22,26 @@
 }
 
 /**
- * Frees a prompt.
+ * Releases a prompt.
  *
- * @param parts the way to the engine
- * @param prompt where it is
- * @param server the engine that has it
+ * @param parts connections and protocol
+ * @param prompt the prefilled prompt
+ * @param server the engine that holds it
  */
 export function releasePrompt(
   parts: ReleaseParts,
-  prompt: ReadPrompt,
+  prompt: PrefilledPrompt,
   server: RegisteredServer,
 ): void {
   const { clock, log, protocol, gate, requestId } = parts;
   const { address } = prompt;
 
-  function noteFailure(reason: string): void {
+  function logFailure(reason: string): void {
     log.write('releaseFailed', { request: requestId, server: server.id, reason });
   }
 
   if (gate.isPaused(server)) {
-    noteFailure('the server asked for a pause; it drops the prompt by itself');
+    logFailure('the server asked for a pause; it will expire the prompt itself');
     return;
   }
   parts.backpressure.limits.take(server.id);
@@ -52,12 +52,12 @@
     clock,
     {
       onHead(head) {
-        gate.heard(server, head, protocol.readAnswer(head));
+        gate.headReceived(server, head, protocol.readAnswer(head));
       },
       onData: () => undefined,
       onEnd: () => undefined,
-      onLoss({ reason }) {
-        noteFailure(reason);
+      onError({ reason }) {
+        logFailure(reason);
       },
     },
   );
