--- a/src/caller/arrival.ts
+++ b/src/caller/admission.ts
@@ -19,7 +19,7 @@
  *
  * @param parts the node's configuration and clock
  */
-export function createArrival(parts: CallerParts): MiddlewareHandler<CallerEnvironment> {
+export function createAuthentication(parts: CallerParts): MiddlewareHandler<CallerEnvironment> {
   return async (context, next) => {
     const requestId = parts.createRequestId();
     context.header('x-request-id', requestId);
--- a/src/caller/commands/call-service.ts
+++ b/src/caller/commands/call-service.ts
@@ -11,11 +11,11 @@
 import type { ServiceAnswer, ServiceCall } from '../../ports/index.js';
 import type { ServiceJob } from '../../router/index.js';
 import type { Timer } from '../../task/index.js';
-import { refuse } from '../arrival.js';
+import { refuse } from '../admission.js';
 import type { CallerEnvironment } from '../environment.js';
 import { IDEMPOTENCY_HEADER, parseHeaders, readBytes } from '../input.js';
 import type { Arrival, CallerParts, KeyedRequest } from '../parts.js';
-import { createTracker, endWith } from '../tracker.js';
+import { createTracker, runTracked } from '../tracker.js';
 
 const PREFIX = '/v1/services/';
 const REPLAYED_HEADER = 'x-reedtally-replayed';
@@ -46,11 +46,11 @@
     const { job, keyed } = prepared.value;
     const tracker = createTracker(parts, job.requestId, job.team.name, job.requestClass.name);
     const { signal } = context.req.raw;
-    const ending = await endWith(tracker, parts.node, () =>
+    const ending = await runTracked(tracker, parts.node, () =>
       keyed === undefined ? runOpen(parts, job, signal) : runKeyed(parts, job, keyed, signal),
     );
     if (ending.result.isErr()) return refuse(parts, context, tracker.fail(ending.result.error));
-    tracker.answer();
+    tracker.succeed();
     return answer(context, ending.result.value, ending.isReplayed);
   };
 }
--- a/src/caller/commands/complete.ts
+++ b/src/caller/commands/complete.ts
@@ -17,7 +17,7 @@
 } from '../../ports/index.js';
 import type { CompletionJob, CompletionStream } from '../../router/index.js';
 import { createFailureBody } from '../answers.js';
-import { refuse } from '../arrival.js';
+import { refuse } from '../admission.js';
 import type { CallerEnvironment } from '../environment.js';
 import {
   IDEMPOTENCY_HEADER,
@@ -29,7 +29,12 @@
 } from '../input.js';
 import { createUsage, type AnswerShape, type Generation } from '../openai.js';
 import type { Arrival, CallerParts } from '../parts.js';
-import { createInternalFailure, createTracker, endWith, type Tracker } from '../tracker.js';
+import {
+  createInternalFailure,
+  createTracker,
+  runTracked,
+  type RequestTracker,
+} from '../tracker.js';
 
 const MS_PER_SECOND = 1_000;
 
@@ -46,7 +51,7 @@
 /** A request whose first token has come. */
 interface Started extends Prepared {
   shape: AnswerShape;
-  tracker: Tracker;
+  tracker: RequestTracker;
   opening: EngineChunk;
   /** What follows the first token. */
   tokens: CompletionStream;
@@ -160,12 +165,12 @@
     controller.abort();
   });
   const tokens = parts.completions.run(job, controller.signal);
-  const first = await endWith(tracker, node, () => tokens.next());
+  const first = await runTracked(tracker, node, () => tokens.next());
   if (first.done === true) return refuse(parts, context, tracker.fail(incomplete(node)));
   if (first.value.isErr()) return refuse(parts, context, tracker.fail(first.value.error));
   const started = { ...prepared, shape, tracker, opening: first.value.value, tokens };
   if (prepared.input.isStreamed) return answerStream(parts, context, started, controller);
-  return endWith(tracker, node, () => answerWhole(parts, context, started));
+  return runTracked(tracker, node, () => answerWhole(parts, context, started));
 }
 
 async function answerWhole(
@@ -184,8 +189,8 @@
   if (last.finishReason === null) {
     return refuse(parts, context, tracker.fail(incomplete(parts.node)));
   }
-  tracker.answer();
-  return context.json(started.shape.whole(started.generation, texts.join(''), last));
+  tracker.succeed();
+  return context.json(started.shape.completion(started.generation, texts.join(''), last));
 }
 
 function answerStream(
@@ -202,7 +207,7 @@
       sink.onAbort(() => {
         controller.abort();
       });
-      await endWith(started.tracker, parts.node, () => pump(parts.node, sink, started));
+      await runTracked(started.tracker, parts.node, () => pump(parts.node, sink, started));
     },
     async (error, sink) => {
       parts.log.write('taskFailed', { task: 'caller front', error: String(error) });
@@ -229,7 +234,7 @@
   }
   if (started.input.includeUsage) await send(sink, shape.usage(generation, createUsage(last)));
   await sink.write('data: [DONE]\n\n');
-  tracker.answer();
+  tracker.succeed();
 }
 
 async function send(sink: StreamingApi, value: object): Promise<void> {
--- a/src/caller/front.ts
+++ b/src/caller/front.ts
@@ -4,7 +4,7 @@
 import { Hono } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
 import { createRefusal } from '../errors/index.js';
-import { createArrival, createReadinessGate, refuse } from './arrival.js';
+import { createAuthentication, createReadinessGate, refuse } from './admission.js';
 import { createCallServiceHandler } from './commands/call-service.js';
 import { createCompleteHandler } from './commands/complete.js';
 import type { CallerEnvironment } from './environment.js';
@@ -26,7 +26,7 @@
  */
 export function createCallerFront(parts: CallerParts): CallerFront {
   const app = new Hono<CallerEnvironment>();
-  const arrival = createArrival(parts);
+  const arrival = createAuthentication(parts);
   const gate = createReadinessGate(parts);
   const limit = bodyLimit({
     maxSize: parts.terms.maxBodyBytes,
--- a/src/caller/openai.ts
+++ b/src/caller/openai.ts
@@ -22,7 +22,7 @@
 /** Writes one kind of answer. */
 export interface AnswerShape {
   chunk(generation: Generation, chunk: EngineChunk): object;
-  whole(generation: Generation, text: string, last: EngineChunk): object;
+  completion(generation: Generation, text: string, last: EngineChunk): object;
   /** The chunk with usage alone that follows the last one, where the caller asked for it. */
   usage(generation: Generation, usage: Usage): object;
 }
@@ -57,7 +57,7 @@
     return { ...head(generation, 'chat.completion.chunk'), choices };
   }
 
-  whole(generation: Generation, text: string, last: EngineChunk): object {
+  completion(generation: Generation, text: string, last: EngineChunk): object {
     const message = { role: 'assistant', content: text, refusal: null };
     const choices = [{ index: 0, message, logprobs: null, finish_reason: last.finishReason }];
     return { ...head(generation, 'chat.completion'), choices, usage: createUsage(last) };
@@ -76,7 +76,7 @@
     return { ...head(generation, 'text_completion'), choices };
   }
 
-  whole(generation: Generation, text: string, last: EngineChunk): object {
+  completion(generation: Generation, text: string, last: EngineChunk): object {
     const choices = [{ index: 0, text, logprobs: null, finish_reason: last.finishReason }];
     return { ...head(generation, 'text_completion'), choices, usage: createUsage(last) };
   }
--- a/src/caller/queries/request.ts
+++ b/src/caller/queries/request.ts
@@ -1,7 +1,7 @@
 /** `GET /v1/requests/{id}`: what became of a request. A team sees its own requests only. */
 import type { Handler } from 'hono';
 import { createRefusal } from '../../errors/index.js';
-import { refuse } from '../arrival.js';
+import { refuse } from '../admission.js';
 import type { CallerEnvironment } from '../environment.js';
 import type { CallerParts } from '../parts.js';
 
--- a/src/caller/tracker.ts
+++ b/src/caller/tracker.ts
@@ -6,8 +6,8 @@
 import type { CallerParts } from './parts.js';
 
 /** Follows one request. */
-export interface Tracker {
-  answer(): void;
+export interface RequestTracker {
+  succeed(): void;
   /** @returns the failure, for the answer */
   fail(failure: Failure): Failure;
 }
@@ -25,7 +25,7 @@
   requestId: string,
   team: string,
   className: string,
-): Tracker {
+): RequestTracker {
   const { requestStatuses, metrics, log } = parts;
   let ended = false;
   requestStatuses.begin(requestId, team);
@@ -46,7 +46,7 @@
   }
 
   return {
-    answer() {
+    succeed() {
       end('answered');
     },
     fail(failure) {
@@ -63,8 +63,8 @@
  * @param node this node, for the failure
  * @param work what is to be done
  */
-export async function endWith<Value>(
-  tracker: Tracker,
+export async function runTracked<Value>(
+  tracker: RequestTracker,
   node: string,
   work: () => Promise<Value>,
 ): Promise<Value> {
