--- a/src/caller/admission.ts
+++ b/src/caller/admission.ts
@@ -1,6 +1,6 @@
 /**
- * What happens to every request before its body is read: it gets an id, its team is found by the
- * API key, and a node that takes no new work says so.
+ * Middleware that runs before a request's body is read: assigns an id, authenticates the team by its
+ * API key, and refuses new work while the node is not ready.
  */
 import { createHash } from 'node:crypto';
 import type { Context, MiddlewareHandler } from 'hono';
@@ -15,7 +15,7 @@
 const RETRY_AFTER_MS = 1_000;
 
 /**
- * Finds the team of each request; its handlers read it from the context.
+ * Authenticates requests; handlers read the id and the team from the context.
  *
  * @param parts the node's configuration and clock
  */
@@ -24,14 +24,14 @@
     const requestId = parts.createRequestId();
     context.header('x-request-id', requestId);
     const team = findTeam(parts, context);
-    if (team === undefined) return refuse(parts, context, explainNoTeam(parts));
+    if (team === undefined) return refuse(parts, context, resolveAuthenticationFailure(parts));
     context.set('arrival', { requestId, team, arrivedAt: parts.clock.now() });
     return next();
   };
 }
 
 /**
- * Turns new work away while the node takes none.
+ * Refuses new work while the node is not ready.
  *
  * @param parts the node's readiness
  */
@@ -54,14 +54,14 @@
   return parts.replica.current().teamsByKeyHash.get(hash);
 }
 
-/** Without a configuration no key is known, which says nothing of the key that was sent. */
-function explainNoTeam(parts: CallerParts): Failure {
+/** Without a current configuration an unknown key may be valid, so the failure is `configuration-stale`. */
+function resolveAuthenticationFailure(parts: CallerParts): Failure {
   const { node } = parts;
   return parts.readiness() === 'configuration-stale' ? stale(node) : unauthenticated(node);
 }
 
 /**
- * Answers with a failure and counts it.
+ * Answers with a failure and counts it in the metrics.
  *
  * @param parts the node's metrics
  * @param context the request's context
--- a/src/caller/answers.ts
+++ b/src/caller/answers.ts
@@ -1,6 +1,6 @@
 /**
- * How answers to callers look when something did not work: one documented shape, with whether the
- * request ran, the step and the peer, and `Retry-After` where waiting helps.
+ * Error answers to callers: a body that states whether the request ran, the step and the peer, and
+ * `Retry-After` if the failure has one.
  */
 import type { Context } from 'hono';
 import { resolveHttpStatus, type Failure } from '../errors/index.js';
@@ -10,14 +10,14 @@
 /** The body of an answer to a request that failed. */
 export interface FailureBody {
   error: Failure & {
-    /** As OpenAI's clients expect it. */
+    /** OpenAI's error type. */
     type: string;
     param: string | null;
   };
 }
 
 /**
- * The body for a failure.
+ * Creates the answer body for a failure.
  *
  * @param failure what went wrong
  */
@@ -39,7 +39,7 @@
     context.header('Retry-After-Ms', String(Math.ceil(failure.retryAfterMs)));
   }
   if (failure.outcome === 'unknown') {
-    // OpenAI's clients repeat by themselves unless told not to.
+    // OpenAI's clients retry server errors unless this header says otherwise
     context.header('x-should-retry', 'false');
   }
   return context.json(createFailureBody(failure), resolveHttpStatus(failure.code));
--- a/src/caller/commands/call-service.ts
+++ b/src/caller/commands/call-service.ts
@@ -1,6 +1,6 @@
 /**
  * `/v1/services/{service}/…`: calls to plain services. A call of a class that may not be repeated
- * carries an idempotency key; it is claimed before it is sent, and its outcome is kept.
+ * needs an idempotency key, which is claimed before the call is sent; its outcome is stored.
  */
 import { createHash } from 'node:crypto';
 import type { Context, Handler } from 'hono';
@@ -21,15 +21,16 @@
 const REPLAYED_HEADER = 'x-reedtally-replayed';
 const RETRY_AFTER_MS = 1_000;
 
-/** A call that was read and may run. */
-interface Prepared {
+/** A validated call. */
+interface PreparedCall {
   job: ServiceJob;
   keyed: KeyedRequest | undefined;
 }
 
-/** How a call ended, and whether its answer is of an earlier time. */
-interface Ending {
+/** The result of a call. */
+interface CallOutcome {
   result: Result<ServiceAnswer, Failure>;
+  /** Whether the result is that of another call with the same key. */
   isReplayed: boolean;
 }
 
@@ -46,12 +47,12 @@
     const { job, keyed } = prepared.value;
     const tracker = createTracker(parts, job.requestId, job.team.name, job.requestClass.name);
     const { signal } = context.req.raw;
-    const ending = await runTracked(tracker, parts.node, () =>
-      keyed === undefined ? runOpen(parts, job, signal) : runKeyed(parts, job, keyed, signal),
+    const outcome = await runTracked(tracker, parts.node, () =>
+      keyed === undefined ? runUnkeyed(parts, job, signal) : runKeyed(parts, job, keyed, signal),
     );
-    if (ending.result.isErr()) return refuse(parts, context, tracker.fail(ending.result.error));
+    if (outcome.result.isErr()) return refuse(parts, context, tracker.fail(outcome.result.error));
     tracker.succeed();
-    return answer(context, ending.result.value, ending.isReplayed);
+    return createResponse(context, outcome.result.value, outcome.isReplayed);
   };
 }
 
@@ -59,7 +60,7 @@
   parts: CallerParts,
   context: Context,
   arrival: Arrival,
-): Promise<Result<Prepared, Failure>> {
+): Promise<Result<PreparedCall, Failure>> {
   const { node } = parts;
   const headers = parseHeaders(context, node);
   if (headers.isErr()) return headers;
@@ -103,73 +104,78 @@
   return hash.digest('hex');
 }
 
-async function runOpen(parts: CallerParts, job: ServiceJob, signal: AbortSignal): Promise<Ending> {
+async function runUnkeyed(
+  parts: CallerParts,
+  job: ServiceJob,
+  signal: AbortSignal,
+): Promise<CallOutcome> {
   const result = await parts.services.run(job, signal, () => Promise.resolve(undefined));
   return { result, isReplayed: false };
 }
 
-/** The claim is made once there is a place, so that refused requests cost no write. */
+/** Claims the key only once a server has a free slot, so that refused requests cost no write. */
 async function runKeyed(
   parts: CallerParts,
   job: ServiceJob,
   keyed: KeyedRequest,
   signal: AbortSignal,
-): Promise<Ending> {
+): Promise<CallOutcome> {
   const joined = parts.claims.join(keyed);
-  if (joined !== undefined) return waitForOther(parts, job, joined);
-  const asked: { claim?: ClaimAnswer } = {};
+  if (joined !== undefined) return waitForRunningCall(parts, job, joined);
+  const claiming: { claim?: ClaimAnswer } = {};
   const result = await parts.services.run(job, signal, async () => {
-    asked.claim = await parts.claims.claim(keyed);
-    return reasonNotToSend(parts, asked.claim);
+    claiming.claim = await parts.claims.claim(keyed);
+    return resolveRefusal(parts, claiming.claim);
   });
-  if (asked.claim === undefined) return lookBack(parts, keyed, result);
-  if (asked.claim.kind === 'answered') return { result: Ok(asked.claim.answer), isReplayed: true };
-  if (asked.claim.kind === 'claimed') await parts.claims.settle(asked.claim.claim, result);
+  if (claiming.claim === undefined) return findEarlierOutcome(parts, keyed, result);
+  if (claiming.claim.kind === 'answered')
+    return { result: Ok(claiming.claim.answer), isReplayed: true };
+  if (claiming.claim.kind === 'claimed') await parts.claims.settle(claiming.claim.claim, result);
   return { result, isReplayed: false };
 }
 
-/** A call under the same key runs at this node: its answer is this one's too, until the deadline. */
-async function waitForOther(
+/** Waits, until the deadline, for the answer of a call with the same key that runs at this node. */
+async function waitForRunningCall(
   parts: CallerParts,
   job: ServiceJob,
   joined: Promise<ClaimAnswer>,
-): Promise<Ending> {
+): Promise<CallOutcome> {
   let timer: Timer | undefined;
-  const late = new Promise<undefined>((resolve) => {
+  const timedOut = new Promise<undefined>((resolve) => {
     timer = parts.clock.after(job.deadlineAt - parts.clock.now(), () => {
       resolve(undefined);
     });
   });
-  const answer = await Promise.race([joined, late]);
+  const answer = await Promise.race([joined, timedOut]);
   timer?.cancel();
   if (answer?.kind === 'answered') return { result: Ok(answer.answer), isReplayed: true };
   const failure = answer?.kind === 'refused' ? answer.failure : stillRunning(parts.node);
   return { result: Err(failure), isReplayed: true };
 }
 
-function reasonNotToSend(parts: CallerParts, claim: ClaimAnswer): Failure | undefined {
+function resolveRefusal(parts: CallerParts, claim: ClaimAnswer): Failure | undefined {
   if (claim.kind === 'claimed') return undefined;
   return claim.kind === 'refused' ? claim.failure : alreadyAnswered(parts.node);
 }
 
-/** Without a place nothing was claimed, but the key may have its outcome from an earlier time. */
-async function lookBack(
+/** Looks up an outcome that the key may have from an earlier call, when this call made no claim. */
+async function findEarlierOutcome(
   parts: CallerParts,
   keyed: KeyedRequest,
   result: Result<ServiceAnswer, Failure>,
-): Promise<Ending> {
+): Promise<CallOutcome> {
   const earlier = await parts.claims.look(keyed);
   if (earlier?.kind === 'answered') return { result: Ok(earlier.answer), isReplayed: true };
   if (earlier?.kind === 'refused') return { result: Err(earlier.failure), isReplayed: true };
   return { result, isReplayed: false };
 }
 
-function answer(context: Context, given: ServiceAnswer, isReplayed: boolean): Response {
-  const headers = new Headers({ 'content-type': given.contentType });
+function createResponse(context: Context, answer: ServiceAnswer, isReplayed: boolean): Response {
+  const headers = new Headers({ 'content-type': answer.contentType });
   if (isReplayed) headers.set(REPLAYED_HEADER, 'true');
   const requestId = context.res.headers.get('x-request-id');
   if (requestId !== null) headers.set('x-request-id', requestId);
-  return new Response(Uint8Array.from(given.body), { status: given.status, headers });
+  return new Response(Uint8Array.from(answer.body), { status: answer.status, headers });
 }
 
 function keyMissing(node: string, className: string): Failure {
@@ -185,7 +191,7 @@
 function stillRunning(node: string): Failure {
   return createUnknownOutcome({
     code: 'in-progress',
-    message: 'a request with this key is running; ask again with the same key for its answer',
+    message: 'a request with this key is still running; retry with the same key to get its answer',
     step: 'claim.settle',
     peer: node,
     retryAfterMs: RETRY_AFTER_MS,
@@ -195,7 +201,7 @@
 function alreadyAnswered(node: string): Failure {
   return createRefusal({
     code: 'in-progress',
-    message: 'the request was answered before',
+    message: 'the request has already been answered',
     step: 'claim.insert',
     peer: node,
   });
--- a/src/caller/commands/complete.ts
+++ b/src/caller/commands/complete.ts
@@ -1,7 +1,7 @@
 /**
- * `POST /v1/chat/completions` and `POST /v1/completions`: resolves where the request may go, runs
- * it, and gives the answer whole or token by token. A stream that broke is never ended like a
- * finished one.
+ * `POST /v1/chat/completions` and `POST /v1/completions`: resolves the engine groups, runs the
+ * generation, and answers with the complete text or a stream of tokens. A stream that ends early is
+ * terminated with an error event, never with `[DONE]`.
  */
 import type { Context, Handler } from 'hono';
 import { stream } from 'hono/streaming';
@@ -38,31 +38,31 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Reads one kind of generation request. */
+/** Parses the body of one kind of completion request. */
 export type GenerationParser = (body: unknown, node: string) => Result<GenerationInput, Failure>;
 
-/** A request that was read and may run. */
-interface Prepared {
+/** A validated request. */
+interface PreparedCompletion {
   job: CompletionJob;
   input: GenerationInput;
   generation: Generation;
 }
 
-/** A request whose first token has come. */
-interface Started extends Prepared {
+/** A request whose first token has been generated. */
+interface StartedCompletion extends PreparedCompletion {
   shape: AnswerShape;
   tracker: RequestTracker;
-  opening: EngineChunk;
-  /** What follows the first token. */
-  tokens: CompletionStream;
+  firstChunk: EngineChunk;
+  /** The chunks after the first. */
+  chunks: CompletionStream;
 }
 
 /**
- * Creates the handler of one kind of generation.
+ * Creates the handler of one kind of completion.
  *
  * @param parts the node's runner and configuration
- * @param parse reads the body
- * @param shape writes the answer
+ * @param parse parses the body
+ * @param shape creates the answer bodies
  */
 export function createCompleteHandler(
   parts: CallerParts,
@@ -82,7 +82,7 @@
   context: Context,
   arrival: Arrival,
   parse: GenerationParser,
-): Promise<Result<Prepared, Failure>> {
+): Promise<Result<PreparedCompletion, Failure>> {
   const { node } = parts;
   const headers = parseHeaders(context, node);
   if (headers.isErr()) return headers;
@@ -97,15 +97,15 @@
   };
   const route = resolveRoute(parts.replica.current(), query, node);
   if (route.isErr()) return route;
-  const groups = selectWithAdapter(route.value.groups, input.value.adapter);
+  const groups = filterByAdapter(route.value.groups, input.value.adapter);
   if (groups.length === 0) return Err(unknownAdapter(node, input.value));
   if (!route.value.requestClass.repeatable && headers.value.idempotencyKey !== undefined) {
-    return Err(malformed(node, IDEMPOTENCY_HEADER, 'generations are not kept under a key'));
+    return Err(malformed(node, IDEMPOTENCY_HEADER, 'completions do not support idempotency keys'));
   }
   return Ok(createPrepared(arrival, headers.value, input.value, { ...route.value, groups }));
 }
 
-function selectWithAdapter(
+function filterByAdapter(
   groups: readonly EngineGroup[],
   adapter: string | undefined,
 ): EngineGroup[] {
@@ -116,7 +116,7 @@
 function unknownAdapter(node: string, { model, adapter }: GenerationInput): Failure {
   return createRefusal({
     code: 'unknown-model',
-    message: `no engine group that you reach serves "${model}" with the adapter "${adapter ?? ''}"`,
+    message: `no engine group available to your team serves "${model}" with the adapter "${adapter ?? ''}"`,
     step: 'request.resolve',
     peer: node,
     field: 'model',
@@ -128,7 +128,7 @@
   headers: RequestHeaders,
   input: GenerationInput,
   route: Route,
-): Prepared {
+): PreparedCompletion {
   const { requestId, arrivedAt } = arrival;
   const { team, requestClass, groups } = route;
   const { model, adapter, prompt, maxTokens } = input;
@@ -154,7 +154,7 @@
 async function run(
   parts: CallerParts,
   context: Context,
-  prepared: Prepared,
+  prepared: PreparedCompletion,
   shape: AnswerShape,
 ): Promise<Response> {
   const { job } = prepared;
@@ -164,24 +164,24 @@
   context.req.raw.signal.addEventListener('abort', () => {
     controller.abort();
   });
-  const tokens = parts.completions.run(job, controller.signal);
-  const first = await runTracked(tracker, node, () => tokens.next());
+  const chunks = parts.completions.run(job, controller.signal);
+  const first = await runTracked(tracker, node, () => chunks.next());
   if (first.done === true) return refuse(parts, context, tracker.fail(incomplete(node)));
   if (first.value.isErr()) return refuse(parts, context, tracker.fail(first.value.error));
-  const started = { ...prepared, shape, tracker, opening: first.value.value, tokens };
+  const started = { ...prepared, shape, tracker, firstChunk: first.value.value, chunks };
   if (prepared.input.isStreamed) return answerStream(parts, context, started, controller);
-  return runTracked(tracker, node, () => answerWhole(parts, context, started));
+  return runTracked(tracker, node, () => answerComplete(parts, context, started));
 }
 
-async function answerWhole(
+async function answerComplete(
   parts: CallerParts,
   context: Context,
-  started: Started,
+  started: StartedCompletion,
 ): Promise<Response> {
-  const { opening, tracker } = started;
-  const texts = [opening.text];
-  let last = opening;
-  for await (const item of started.tokens) {
+  const { firstChunk, tracker } = started;
+  const texts = [firstChunk.text];
+  let last = firstChunk;
+  for await (const item of started.chunks) {
     if (item.isErr()) return refuse(parts, context, tracker.fail(item.error));
     last = item.value;
     texts.push(last.text);
@@ -196,49 +196,54 @@
 function answerStream(
   parts: CallerParts,
   context: Context,
-  started: Started,
+  started: StartedCompletion,
   controller: AbortController,
 ): Response {
   context.header('content-type', 'text/event-stream');
   context.header('cache-control', 'no-cache');
   return stream(
     context,
-    async (sink) => {
-      sink.onAbort(() => {
+    async (output) => {
+      output.onAbort(() => {
         controller.abort();
       });
-      await runTracked(started.tracker, parts.node, () => pump(parts.node, sink, started));
+      await runTracked(started.tracker, parts.node, () => writeStream(parts.node, output, started));
     },
-    async (error, sink) => {
+    async (error, output) => {
       parts.log.write('taskFailed', { task: 'caller front', error: String(error) });
-      await send(sink, createFailureBody(createInternalFailure(parts.node)));
+      await writeEvent(output, createFailureBody(createInternalFailure(parts.node)));
     },
   );
 }
 
-async function pump(node: string, sink: StreamingApi, started: Started): Promise<void> {
+async function writeStream(
+  node: string,
+  output: StreamingApi,
+  started: StartedCompletion,
+): Promise<void> {
   const { generation, shape, tracker } = started;
-  let last = started.opening;
-  await send(sink, shape.chunk(generation, last));
-  for await (const item of started.tokens) {
+  let last = started.firstChunk;
+  await writeEvent(output, shape.chunk(generation, last));
+  for await (const item of started.chunks) {
     if (item.isErr()) {
-      await send(sink, createFailureBody(tracker.fail(item.error)));
+      await writeEvent(output, createFailureBody(tracker.fail(item.error)));
       return;
     }
     last = item.value;
-    await send(sink, shape.chunk(generation, last));
+    await writeEvent(output, shape.chunk(generation, last));
   }
   if (last.finishReason === null) {
-    await send(sink, createFailureBody(tracker.fail(incomplete(node))));
+    await writeEvent(output, createFailureBody(tracker.fail(incomplete(node))));
     return;
   }
-  if (started.input.includeUsage) await send(sink, shape.usage(generation, createUsage(last)));
-  await sink.write('data: [DONE]\n\n');
+  if (started.input.includeUsage)
+    await writeEvent(output, shape.usage(generation, createUsage(last)));
+  await output.write('data: [DONE]\n\n');
   tracker.succeed();
 }
 
-async function send(sink: StreamingApi, value: object): Promise<void> {
-  await sink.write(`data: ${JSON.stringify(value)}\n\n`);
+async function writeEvent(output: StreamingApi, value: object): Promise<void> {
+  await output.write(`data: ${JSON.stringify(value)}\n\n`);
 }
 
 function incomplete(peer: string): Failure {
--- a/src/caller/environment.ts
+++ b/src/caller/environment.ts
@@ -1,7 +1,6 @@
-/** What the caller front's middleware leaves for its handlers. */
+/** Context variables that the caller front's middleware sets for its handlers. */
 import type { Arrival } from './parts.js';
 
-/** Variables of a request's context. */
 export interface CallerEnvironment {
   Variables: { arrival: Arrival };
 }
--- a/src/caller/front.ts
+++ b/src/caller/front.ts
@@ -1,5 +1,5 @@
 /**
- * The caller front: all that callers may ask of a node over HTTP.
+ * The caller front: a node's HTTP API for callers.
  */
 import { Hono } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
@@ -16,42 +16,42 @@
 import { createRequestHandler } from './queries/request.js';
 import { createInternalFailure } from './tracker.js';
 
-/** The application that answers callers. */
+/** The HTTP application for callers. */
 export type CallerFront = Hono<CallerEnvironment>;
 
 /**
- * Creates the application that answers callers.
+ * Creates the HTTP application for callers.
  *
  * @param parts the node's parts
  */
 export function createCallerFront(parts: CallerParts): CallerFront {
   const app = new Hono<CallerEnvironment>();
-  const arrival = createAuthentication(parts);
-  const gate = createReadinessGate(parts);
-  const limit = bodyLimit({
+  const authentication = createAuthentication(parts);
+  const readinessGate = createReadinessGate(parts);
+  const bodySizeLimit = bodyLimit({
     maxSize: parts.terms.maxBodyBytes,
     onError: (context) => refuse(parts, context, tooLarge(parts)),
   });
 
   app.get('/v1/entry-points', createEntryPointsHandler(parts));
-  app.use('/v1/*', arrival);
+  app.use('/v1/*', authentication);
   app.get('/v1/models', createModelsHandler(parts));
   app.get('/v1/requests/:id', createRequestHandler(parts));
   app.post(
     '/v1/chat/completions',
-    gate,
-    limit,
+    readinessGate,
+    bodySizeLimit,
     createCompleteHandler(parts, parseChatRequest, new ChatShape()),
   );
   app.post(
     '/v1/completions',
-    gate,
-    limit,
+    readinessGate,
+    bodySizeLimit,
     createCompleteHandler(parts, parseTextRequest, new TextShape()),
   );
   const callService = createCallServiceHandler(parts);
-  app.all('/v1/services/:service', gate, limit, callService);
-  app.all('/v1/services/:service/*', gate, limit, callService);
+  app.all('/v1/services/:service', readinessGate, bodySizeLimit, callService);
+  app.all('/v1/services/:service/*', readinessGate, bodySizeLimit, callService);
 
   app.notFound((context) => refuse(parts, context, notFound(parts, context.req.path)));
   app.onError((error, context) => {
@@ -74,7 +74,7 @@
 function notFound(parts: CallerParts, path: string) {
   return createRefusal({
     code: 'unknown-object',
-    message: `there is nothing at ${path}; the paths are in docs/API.md`,
+    message: `unknown path ${path}; docs/API.md lists the paths`,
     step: 'request.read',
     peer: parts.node,
     field: 'path',
--- a/src/caller/input.ts
+++ b/src/caller/input.ts
@@ -1,18 +1,18 @@
 /**
- * What callers may send, checked before anything is done with it.
+ * Parses and validates the headers and bodies of callers' requests.
  */
 import type { Context } from 'hono';
 import { Err, Ok, type Result } from 'ts-results-es';
 import * as z from 'zod';
 import { createRefusal, type Failure } from '../errors/index.js';
 
-/** Header that names the request class. */
+/** Header for the request class. */
 export const CLASS_HEADER = 'x-reedtally-class';
-/** Header that gives the time left for the whole answer, in milliseconds. */
+/** Header for the time left until the complete answer is due, in milliseconds. */
 export const DEADLINE_HEADER = 'x-reedtally-deadline-ms';
-/** Header under which a request that may not be repeated is known. */
+/** Header for the idempotency key of a request that must not run twice. */
 export const IDEMPOTENCY_HEADER = 'idempotency-key';
-/** The class of requests that name none. */
+/** The class of requests without a class header. */
 export const DEFAULT_CLASS = 'default';
 
 const DEFAULT_MAX_TOKENS = 256;
@@ -29,12 +29,12 @@
   z.array(z.object({ type: z.literal('text'), text: z.string() })),
 ]);
 
-/** An option of which only the value without effect is taken. */
-function neutral<Value extends string | number | boolean>(value: Value) {
+/** An option that is accepted only with its default value. */
+function onlyDefault<Value extends string | number | boolean>(value: Value) {
   return z.literal(value, { error: `only ${String(value)} is supported` }).nullish();
 }
 
-/** Options that engines are not told of, taken so that usual clients work. */
+/** Options that are accepted and ignored, for compatibility with common clients. */
 const ignoredFields = {
   temperature: z.number().nullish(),
   top_p: z.number().nullish(),
@@ -43,11 +43,11 @@
   metadata: z.record(z.string(), z.string()).nullish(),
 };
 
-/** Options that would change the answer, which engines cannot be told of. */
-const neutralFields = {
-  n: neutral(1),
-  presence_penalty: neutral(0),
-  frequency_penalty: neutral(0),
+/** Options that engines do not support, accepted only with their default values. */
+const defaultOnlyFields = {
+  n: onlyDefault(1),
+  presence_penalty: onlyDefault(0),
+  frequency_penalty: onlyDefault(0),
   stop: z.null({ error: UNSUPPORTED }).optional(),
   logit_bias: z.null({ error: UNSUPPORTED }).optional(),
 };
@@ -58,12 +58,12 @@
   stream_options: z
     .strictObject({
       include_usage: z.boolean().optional(),
-      include_obfuscation: neutral(false),
+      include_obfuscation: onlyDefault(false),
     })
     .nullish(),
   max_tokens: maxTokensSchema.nullish(),
   ...ignoredFields,
-  ...neutralFields,
+  ...defaultOnlyFields,
 };
 
 const messageSchema = z.strictObject({
@@ -76,20 +76,20 @@
   ...commonFields,
   messages: z.array(messageSchema).min(1),
   max_completion_tokens: maxTokensSchema.nullish(),
-  logprobs: neutral(false),
-  response_format: z.strictObject({ type: neutral('text') }).nullish(),
+  logprobs: onlyDefault(false),
+  response_format: z.strictObject({ type: onlyDefault('text') }).nullish(),
 });
 
 export const textRequestSchema = z.strictObject({
   ...commonFields,
   prompt: z.string().min(1),
-  best_of: neutral(1),
-  echo: neutral(false),
+  best_of: onlyDefault(1),
+  echo: onlyDefault(false),
   logprobs: z.null({ error: UNSUPPORTED }).optional(),
   suffix: z.null({ error: UNSUPPORTED }).optional(),
 });
 
-/** A generation as both kinds of request ask for it. */
+/** The parsed body of a chat or text completion request. */
 export interface GenerationInput {
   model: string;
   adapter: string | undefined;
@@ -99,7 +99,7 @@
   includeUsage: boolean;
 }
 
-/** What the headers of a request say. */
+/** The parsed headers of a request. */
 export interface RequestHeaders {
   className: string;
   deadlineMs: number | undefined;
@@ -107,7 +107,7 @@
 }
 
 /**
- * Reads a chat request.
+ * Parses a chat completion request.
  *
  * @param body the parsed body
  * @param node this node, for failures
@@ -118,14 +118,14 @@
   const { data } = parsed;
   const lines: string[] = [];
   for (const message of data.messages) {
-    lines.push(`${message.role}: ${textOf(message.content)}`);
+    lines.push(`${message.role}: ${joinText(message.content)}`);
   }
   const maxTokens = data.max_completion_tokens ?? data.max_tokens ?? DEFAULT_MAX_TOKENS;
   return createInput(data, lines.join('\n'), maxTokens, node);
 }
 
 /**
- * Reads a text completion request.
+ * Parses a text completion request.
  *
  * @param body the parsed body
  * @param node this node, for failures
@@ -157,7 +157,7 @@
   });
 }
 
-function textOf(content: z.infer<typeof contentSchema>): string {
+function joinText(content: z.infer<typeof contentSchema>): string {
   if (typeof content === 'string') return content;
   const texts: string[] = [];
   for (const part of content) {
@@ -167,7 +167,7 @@
 }
 
 /**
- * Reads the headers that reach every kind of request.
+ * Parses the headers that all kinds of requests share.
  *
  * @param context the request's context
  * @param node this node, for failures
@@ -180,14 +180,14 @@
   }
   if (deadlineMs !== undefined && deadlineMs <= 0) return Err(expired(node));
   const idempotencyKey = context.req.header(IDEMPOTENCY_HEADER);
-  if (idempotencyKey !== undefined && !isKey(idempotencyKey)) {
+  if (idempotencyKey !== undefined && !isValidKey(idempotencyKey)) {
     return Err(malformed(node, IDEMPOTENCY_HEADER, `expected 1 to ${MAX_KEY_LENGTH} characters`));
   }
   const className = context.req.header(CLASS_HEADER) ?? DEFAULT_CLASS;
   return Ok({ className, deadlineMs, idempotencyKey });
 }
 
-function isKey(key: string): boolean {
+function isValidKey(key: string): boolean {
   return key.length > 0 && key.length <= MAX_KEY_LENGTH;
 }
 
@@ -221,15 +221,15 @@
   try {
     return Ok(new Uint8Array(await context.req.arrayBuffer()));
   } catch {
-    return Err(malformed(node, 'body', 'it ended before it was whole'));
+    return Err(malformed(node, 'body', 'ended early'));
   }
 }
 
 /**
- * A refusal of a request that is wrong in one field.
+ * Creates the refusal of a request with an invalid field.
  *
  * @param node this node
- * @param field the wrong field
+ * @param field the invalid field
  * @param expected what was expected there
  */
 export function malformed(node: string, field: string, expected: string): Failure {
@@ -245,7 +245,7 @@
 function expired(node: string): Failure {
   return createRefusal({
     code: 'deadline-expired',
-    message: 'the deadline had passed when the request came',
+    message: 'the deadline had passed when the request arrived',
     step: 'request.read',
     peer: node,
     field: DEADLINE_HEADER,
@@ -254,7 +254,7 @@
 
 function describeIssue(error: z.ZodError, node: string): Failure {
   const issue = error.issues[0];
-  if (issue === undefined) return malformed(node, 'body', 'is wrong');
+  if (issue === undefined) return malformed(node, 'body', 'is invalid');
   const path = issue.path.map(String);
   if (issue.code !== 'unrecognized_keys') {
     return malformed(node, path.join('.') || 'body', issue.message);
--- a/src/caller/openai.ts
+++ b/src/caller/openai.ts
@@ -1,9 +1,9 @@
 /**
- * The shapes of OpenAI's published HTTP interface, for both kinds of generation.
+ * Answer bodies of OpenAI's HTTP API, for chat and text completions.
  */
 import type { EngineChunk } from '../ports/index.js';
 
-/** Usage as OpenAI's clients read it. */
+/** Token usage in OpenAI's format. */
 export interface Usage {
   prompt_tokens: number;
   completion_tokens: number;
@@ -11,26 +11,26 @@
   prompt_tokens_details: { cached_tokens: number };
 }
 
-/** What an answer is made of, whichever its shape. */
+/** What the answers of both shapes have in common. */
 export interface Generation {
   requestId: string;
   model: string;
-  /** Seconds since 1970, as the interface wants it. */
+  /** Unix time, in seconds. */
   created: number;
 }
 
-/** Writes one kind of answer. */
+/** Creates the answer bodies of one kind of completion. */
 export interface AnswerShape {
   chunk(generation: Generation, chunk: EngineChunk): object;
   completion(generation: Generation, text: string, last: EngineChunk): object;
-  /** The chunk with usage alone that follows the last one, where the caller asked for it. */
+  /** The final chunk, with usage only, which is sent if the caller requested it. */
   usage(generation: Generation, usage: Usage): object;
 }
 
 /**
- * Usage of a finished generation.
+ * Creates the usage of a finished generation.
  *
- * @param last the chunk that ended it
+ * @param last its last chunk
  */
 export function createUsage(last: EngineChunk): Usage {
   const promptTokens = last.usage?.promptTokens ?? 0;
--- a/src/caller/parts.ts
+++ b/src/caller/parts.ts
@@ -1,4 +1,4 @@
-/** What the caller front is made of. */
+/** Dependencies of the caller front. */
 import type { ClaimRequest, Claims } from '../claims/index.js';
 import type { ConfigurationReplica, Team } from '../configuration/index.js';
 import type { Log } from '../events/index.js';
@@ -9,10 +9,10 @@
 import type { Settings } from '../settings/index.js';
 import type { Clock } from '../task/index.js';
 
-/** Whether a node takes new work. */
+/** Whether a node accepts new work. */
 export type Readiness = 'ready' | 'leaving' | 'configuration-stale';
 
-/** What the caller front is made of. */
+/** Dependencies of the caller front. */
 export interface CallerParts {
   node: string;
   clock: Clock;
@@ -27,18 +27,18 @@
   createRequestId(): string;
   readiness(): Readiness;
   entryPoints(zone: string | undefined): EntryPoints;
-  /** Finds the fate of a request of another node; `undefined` when nobody knows it. */
+  /** Finds the fate of a request of another node; `undefined` if no node knows it. */
   findRequestStatus(requestId: string): Promise<RequestStatus | undefined>;
-  /** Counts a request in or out of flight. */
+  /** Changes the number of requests in flight. */
   track(change: 1 | -1): void;
 }
 
-/** What is known of a request before its body is looked at. Times are on the node's clock. */
+/** What is known of a request before its body is read. Times are in ms on the node's clock. */
 export interface Arrival {
   requestId: string;
   team: Team;
   arrivedAt: number;
 }
 
-/** A request under an idempotency key. */
+/** A request with an idempotency key. */
 export type KeyedRequest = ClaimRequest;
--- a/src/caller/queries/entry-points.ts
+++ b/src/caller/queries/entry-points.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /v1/entry-points?zone=…`: which addresses to use and for how long. Needs no API key, since a
- * caller asks before it can do anything else. Nodes that leave are not among them.
+ * `GET /v1/entry-points?zone=…`: the addresses of nodes to use, and for how long. Needs no API key.
+ * Nodes that are leaving are not listed.
  */
 import type { Handler } from 'hono';
 import type { CallerParts } from '../parts.js';
--- a/src/caller/queries/models.ts
+++ b/src/caller/queries/models.ts
@@ -1,4 +1,4 @@
-/** `GET /v1/models`: the models that the team reaches with any of its classes. */
+/** `GET /v1/models`: the models that the team can use with any of its classes. */
 import type { Handler } from 'hono';
 import { resolveRoute } from '../../configuration/index.js';
 import type { CallerEnvironment } from '../environment.js';
--- a/src/caller/queries/request.ts
+++ b/src/caller/queries/request.ts
@@ -1,4 +1,4 @@
-/** `GET /v1/requests/{id}`: what became of a request. A team sees its own requests only. */
+/** `GET /v1/requests/{id}`: the status of a request. A team sees only its own requests. */
 import type { Handler } from 'hono';
 import { createRefusal } from '../../errors/index.js';
 import { refuse } from '../admission.js';
@@ -8,17 +8,17 @@
 /**
  * Creates the handler.
  *
- * @param parts the node's memory of requests
+ * @param parts the node's request statuses
  */
 export function createRequestHandler(parts: CallerParts): Handler<CallerEnvironment> {
   return async (context) => {
     const requestId = context.req.param('id') ?? '';
-    const fate =
+    const status =
       parts.requestStatuses.find(requestId) ?? (await parts.findRequestStatus(requestId));
-    if (fate?.team === context.get('arrival').team.name) return context.json(fate);
+    if (status?.team === context.get('arrival').team.name) return context.json(status);
     const failure = createRefusal({
       code: 'unknown-object',
-      message: 'no request of your team is known by this id; fates are kept for a while only',
+      message: 'your team has no request with this id, or its status is no longer kept',
       step: 'request.resolve',
       peer: parts.node,
       field: 'id',
--- a/src/caller/tracker.ts
+++ b/src/caller/tracker.ts
@@ -1,11 +1,11 @@
 /**
- * Follows one request to its end: counts it in flight, remembers its fate and counts its outcome,
- * once.
+ * Tracks a request until it ends: counts it in flight, stores its status, and counts and logs its
+ * outcome once.
  */
 import { createUnknownOutcome, type Failure } from '../errors/index.js';
 import type { CallerParts } from './parts.js';
 
-/** Follows one request. */
+/** Tracks one request. */
 export interface RequestTracker {
   succeed(): void;
   /** @returns the failure, for the answer */
@@ -13,11 +13,11 @@
 }
 
 /**
- * Starts to follow a request.
+ * Starts to track a request.
  *
  * @param parts the node's request statuses and metrics
- * @param requestId the request
- * @param team whose it is
+ * @param requestId the request's id
+ * @param team the team that sent it
  * @param className its class, for the metrics
  */
 export function createTracker(
@@ -57,11 +57,12 @@
 }
 
 /**
- * Does the work of a request. Work that throws ends the request too, so that none stays in flight.
+ * Runs the work of a request. If it throws, the request is ended as failed, so that it does not stay
+ * counted in flight.
  *
- * @param tracker what follows the request
+ * @param tracker the request's tracker
  * @param node this node, for the failure
- * @param work what is to be done
+ * @param work the work
  */
 export async function runTracked<Value>(
   tracker: RequestTracker,
@@ -77,14 +78,14 @@
 }
 
 /**
- * The failure of a request whose handling threw.
+ * Creates the failure of a request whose handler threw.
  *
  * @param node this node
  */
 export function createInternalFailure(node: string): Failure {
   return createUnknownOutcome({
     code: 'internal',
-    message: 'the node failed; its log says more under event 1005',
+    message: 'internal error; see event 1005 in the log of the node',
     step: 'answer.deliver',
     peer: node,
   });
--- a/test/caller/bad-input.test.ts
+++ b/test/caller/bad-input.test.ts
@@ -4,7 +4,7 @@
 import { keyOf, MODEL, SERVICE, startCluster, type Cluster } from '../fixtures/cluster.js';
 
 interface BadRequest {
-  what: string;
+  title: string;
   path?: string;
   method?: string;
   headers?: Record<string, string>;
@@ -21,50 +21,50 @@
 const once = { 'x-reedtally-class': 'once' };
 
 const badRequests: BadRequest[] = [
-  { what: 'malformed JSON', body: '{"model":', ...malformed, field: 'body' },
-  { what: 'no object', body: '[]', ...malformed, field: 'body' },
-  { what: 'a wrong type', body: { ...chat, model: 7 }, ...malformed, field: 'model' },
+  { title: 'malformed JSON', body: '{"model":', ...malformed, field: 'body' },
+  { title: 'a body that is not an object', body: '[]', ...malformed, field: 'body' },
+  { title: 'a wrong type', body: { ...chat, model: 7 }, ...malformed, field: 'model' },
   {
-    what: 'a wrong type deep down',
+    title: 'a wrong type in a nested field',
     body: { ...chat, messages: [{ role: 'user', content: [{ type: 'image' }] }] },
     ...malformed,
     field: 'messages.0.content',
   },
-  { what: 'no messages', body: { ...chat, messages: [] }, ...malformed, field: 'messages' },
-  { what: 'no tokens', body: { ...chat, max_tokens: 0 }, ...malformed, field: 'max_tokens' },
-  { what: 'several answers', body: { ...chat, n: 2 }, ...malformed, field: 'n' },
-  { what: 'tools', body: { ...chat, tools: [] }, ...malformed, field: 'tools' },
-  { what: 'logprobs', body: { ...chat, logprobs: true }, ...malformed, field: 'logprobs' },
-  { what: 'stop words', body: { ...chat, stop: ['.'] }, ...malformed, field: 'stop' },
+  { title: 'no messages', body: { ...chat, messages: [] }, ...malformed, field: 'messages' },
+  { title: 'no tokens', body: { ...chat, max_tokens: 0 }, ...malformed, field: 'max_tokens' },
+  { title: 'several choices', body: { ...chat, n: 2 }, ...malformed, field: 'n' },
+  { title: 'tools', body: { ...chat, tools: [] }, ...malformed, field: 'tools' },
+  { title: 'logprobs', body: { ...chat, logprobs: true }, ...malformed, field: 'logprobs' },
+  { title: 'stop sequences', body: { ...chat, stop: ['.'] }, ...malformed, field: 'stop' },
   {
-    what: 'a role of tools',
+    title: 'a tool role',
     body: { ...chat, messages: [{ role: 'tool', content: 'x' }] },
     ...malformed,
     field: 'messages.0.role',
   },
   {
-    what: 'a JSON answer',
+    title: 'a JSON response format',
     body: { ...chat, response_format: { type: 'json_object' } },
     ...malformed,
     field: 'response_format.type',
   },
   {
-    what: 'several prompts',
+    title: 'several prompts',
     path: '/v1/completions',
     body: { ...text, prompt: ['a', 'b'] },
     ...malformed,
     field: 'prompt',
   },
-  { what: 'two adapters', body: { ...chat, model: 'a:b:c' }, ...malformed, field: 'model' },
+  { title: 'two adapters', body: { ...chat, model: 'a:b:c' }, ...malformed, field: 'model' },
   {
-    what: 'an oversize body',
+    title: 'an oversize body',
     body: { ...chat, messages: [{ role: 'user', content: 'x'.repeat(20_000) }] },
     status: 413,
     code: 'body-too-large',
     field: 'body',
   },
   {
-    what: 'an oversize body for a service',
+    title: 'an oversize body for a service',
     path: service,
     body: 'x'.repeat(20_000),
     status: 413,
@@ -72,70 +72,70 @@
     field: 'body',
   },
   {
-    what: 'headers that are too large',
+    title: 'headers that are too large',
     headers: { 'x-note': 'x'.repeat(20_000) },
     status: 431,
     code: 'headers-too-large',
     field: 'headers',
   },
   {
-    what: 'an unknown model',
+    title: 'an unknown model',
     body: { ...chat, model: 'nothing' },
     status: 404,
     code: 'unknown-model',
     field: 'model',
   },
   {
-    what: 'an unknown class',
+    title: 'an unknown class',
     headers: { 'x-reedtally-class': 'nothing' },
     status: 404,
     code: 'unknown-class',
     field: 'class',
   },
   {
-    what: 'an unknown service',
+    title: 'an unknown service',
     path: '/v1/services/nothing/pages/7',
     status: 404,
     code: 'unknown-service',
     field: 'service',
   },
-  { what: 'an unknown path', path: '/v1/x', status: 404, code: 'unknown-object', field: 'path' },
+  { title: 'an unknown path', path: '/v1/x', status: 404, code: 'unknown-object', field: 'path' },
   {
-    what: 'a team without a binding',
+    title: 'a team without a binding',
     headers: { authorization: `Bearer ${keyOf('unbound')}` },
     status: 403,
     code: 'no-binding',
     field: 'model',
   },
   {
-    what: 'a bad key',
+    title: 'a bad key',
     headers: { authorization: 'Bearer nothing' },
     status: 401,
     code: 'unauthenticated',
     field: 'Authorization',
   },
   {
-    what: 'no key',
+    title: 'no key',
     headers: { authorization: '' },
     status: 401,
     code: 'unauthenticated',
     field: 'Authorization',
   },
   {
-    what: 'an expired deadline',
+    title: 'an expired deadline',
     headers: { 'x-reedtally-deadline-ms': '-5' },
     status: 400,
     code: 'deadline-expired',
     field: 'x-reedtally-deadline-ms',
   },
   {
-    what: 'a deadline that is no number',
+    title: 'a deadline that is not a number',
     headers: { 'x-reedtally-deadline-ms': 'soon' },
     ...malformed,
     field: 'x-reedtally-deadline-ms',
   },
   {
-    what: 'a call that may not be repeated, without a key',
+    title: 'a call that may not be repeated, without a key',
     path: service,
     headers: once,
     status: 400,
@@ -143,21 +143,21 @@
     field: 'idempotency-key',
   },
   {
-    what: 'an idempotency key that is too long',
+    title: 'an idempotency key that is too long',
     path: service,
     headers: { ...once, 'idempotency-key': 'k'.repeat(256) },
     ...malformed,
     field: 'idempotency-key',
   },
   {
-    what: 'an idempotency key for a generation that may not be repeated',
+    title: 'an idempotency key for a generation that may not be repeated',
     headers: { ...once, 'idempotency-key': 'k' },
     ...malformed,
     field: 'idempotency-key',
   },
 ];
 
-describe('bad input of callers', () => {
+describe('invalid requests of callers', () => {
   let cluster: Cluster;
 
   before(async () => {
@@ -167,7 +167,7 @@
 
   after(() => cluster.stop());
 
-  afterEach('nothing was done', () => {
+  afterEach('no server received a request and no key was claimed', () => {
     expect(cluster.received()).to.equal(0);
     expect(countClaims(cluster)).to.equal(0);
   });
@@ -181,7 +181,7 @@
   }
 
   for (const bad of badRequests) {
-    it(`refuses ${bad.what}`, async () => {
+    it(`refuses ${bad.title}`, async () => {
       const answer = await send(bad);
       const { error } = (await answer.json()) as FailureBody;
       expect(error).to.include({ code: bad.code, field: bad.field, outcome: 'not-run' });
@@ -190,7 +190,7 @@
     });
   }
 
-  it('refuses an oversize body that does not tell its length', async () => {
+  it('refuses an oversize chunked body without a content length', async () => {
     const answer = await exchange([
       'POST /v1/chat/completions HTTP/1.1\r\nHost: n1\r\nTransfer-Encoding: chunked\r\n',
       `Authorization: Bearer ${keyOf('kumasi')}\r\n\r\n`,
@@ -226,7 +226,7 @@
       .and.to.contain('"code":"malformed-request"');
   });
 
-  it('outlives a caller that hangs up in the middle of its request', async () => {
+  it('keeps no request in flight when a caller disconnects in the middle of its body', async () => {
     const [host = '', port = ''] = (cluster.nodes[0]?.addresses.caller ?? '').split(':');
     const socket = connect(Number(port), host);
     const closed = new Promise((resolve) => socket.once('close', resolve));
@@ -239,7 +239,7 @@
     expect(status?.node.inFlight).to.equal(0);
   });
 
-  /** Sends raw bytes and reads until the node closes the connection. */
+  /** Sends raw bytes and returns what the node answers. */
   function exchange(parts: readonly string[]): Promise<string> {
     const [host = '', port = ''] = (cluster.nodes[0]?.addresses.caller ?? '').split(':');
     return new Promise((resolve, reject) => {
--- a/test/caller/idempotency.test.ts
+++ b/test/caller/idempotency.test.ts
@@ -4,7 +4,7 @@
 import { keyOf, SERVICE, startCluster, waitUntil, type Cluster } from '../fixtures/cluster.js';
 
 interface Call {
-  /** Index of the node that is asked. */
+  /** Index of the node to send to. */
   node: number;
   key: string;
   body?: string;
@@ -12,7 +12,7 @@
   path?: string;
 }
 
-describe('a call that may not be repeated', () => {
+describe('a call with an idempotency key', () => {
   let cluster: Cluster;
 
   before(async () => {
@@ -36,8 +36,8 @@
     });
   }
 
-  /** Paths that workers ran, in the order of time. */
-  function executions(path = '/pages/7'): number {
+  /** Number of executions of a path by all workers. */
+  function countExecutions(path = '/pages/7'): number {
     let count = 0;
     for (const worker of cluster.workers) {
       for (const entry of worker.entries()) {
@@ -53,17 +53,17 @@
     }
   }
 
-  it('gets the same answer again, at any node, and runs once', async () => {
+  it('runs once and returns the same answer again at any node', async () => {
     const first = await send({ node: 0, key: 'a' });
     const answer = await first.text();
     expect(first.status).to.equal(200);
     const again = await send({ node: 1, key: 'a' });
     expect(await again.text()).to.equal(answer);
     expect(again.headers.get('x-reedtally-replayed')).to.equal('true');
-    expect(executions()).to.equal(1);
+    expect(countExecutions()).to.equal(1);
   });
 
-  it('is refused under a key that was used for something else', async () => {
+  it('is refused if its key was used for a different call', async () => {
     const calls: Call[] = [
       { node: 1, key: 'a', body: '{"part":"valve"}' },
       { node: 0, key: 'a', path: '/pages/8' },
@@ -74,24 +74,24 @@
       expect(other.status).to.equal(422);
       expect(error).to.include({ code: 'idempotency-key-reused', outcome: 'not-run' });
     }
-    expect(executions('/pages/8')).to.equal(0);
+    expect(countExecutions('/pages/8')).to.equal(0);
   });
 
-  it('has keys of its own in each team', async () => {
+  it('does not share keys between teams', async () => {
     const other = await send({ node: 0, key: 'a', team: 'accra', path: '/pages/9' });
     expect(plainServiceAnswerSchema.parse(await other.json()).path).to.equal('/pages/9');
   });
 
-  it('runs once however many ask at once', async () => {
+  it('runs once when sent several times concurrently', async () => {
     const path = '/pages/10';
-    const asked = [0, 1, 0, 1, 0, 1].map((node) => send({ node, key: 'b', path }));
-    const statuses = (await Promise.all(asked)).map(({ status }) => status);
+    const sent = [0, 1, 0, 1, 0, 1].map((node) => send({ node, key: 'b', path }));
+    const statuses = (await Promise.all(sent)).map(({ status }) => status);
     expect(statuses).to.include(200);
     expect(statuses.filter((status) => status !== 200 && status !== 409)).to.deep.equal([]);
-    expect(executions(path)).to.equal(1);
+    expect(countExecutions(path)).to.equal(1);
   });
 
-  it('is never run again once it may have run', async () => {
+  it('does not run again after it may have run', async () => {
     const path = '/pages/11';
     setFault('drop-answer', path);
     const lost = await send({ node: 0, key: 'c', path });
@@ -101,22 +101,22 @@
     const again = await send({ node: 1, key: 'c', path });
     const { error } = (await again.json()) as FailureBody;
     expect(error).to.include({ outcome: 'unknown' });
-    expect(executions(path)).to.equal(1);
+    expect(countExecutions(path)).to.equal(1);
   });
 
-  it('runs after all when asked again after a refusal that said "not run"', async () => {
+  it('runs when retried after a refusal with the outcome "not-run"', async () => {
     const path = '/pages/12';
     cluster.table.setFault({ kind: 'unavailable', path: '/v1/transactions' });
     const refused = await send({ node: 0, key: 'd', path });
     const { error } = (await refused.json()) as FailureBody;
     expect(error).to.include({ outcome: 'not-run' });
-    expect(executions(path)).to.equal(0);
+    expect(countExecutions(path)).to.equal(0);
     cluster.table.setFault({ kind: 'none' });
     expect((await send({ node: 1, key: 'd', path })).status).to.equal(200);
-    expect(executions(path)).to.equal(1);
+    expect(countExecutions(path)).to.equal(1);
   });
 
-  it('runs to its end and keeps its answer when its caller hangs up', async () => {
+  it('completes and stores its answer when its caller disconnects', async () => {
     const path = '/pages/13';
     const abort = new AbortController();
     for (const worker of cluster.workers) {
@@ -124,12 +124,12 @@
     }
     const call: Call = { node: 0, key: 'e', path };
     const left = send(call, abort.signal).catch(() => undefined);
-    await waitUntil('it runs', () => executions(path) === 1);
+    await waitUntil('it runs', () => countExecutions(path) === 1);
     abort.abort();
     await left;
     setFault('none');
     const again: Call = { ...call, node: 1 };
     await waitUntil('the answer is kept', async () => (await send(again)).status === 200);
-    expect(executions(path)).to.equal(1);
+    expect(countExecutions(path)).to.equal(1);
   });
 });
--- a/test/caller/openai-client.test.ts
+++ b/test/caller/openai-client.test.ts
@@ -13,7 +13,7 @@
 const messages = [{ role: 'user' as const, content: QUESTION }];
 const chatAnswer = expectedAnswer(MODEL, `user: ${QUESTION}`, 256).text;
 
-describe('a caller with the openai client', () => {
+describe('the openai client', () => {
   let cluster: Cluster;
   let client: OpenAI;
 
@@ -29,14 +29,14 @@
 
   after(() => cluster.stop());
 
-  it('gets a whole chat answer, with usage', async () => {
+  it('gets a complete chat answer with usage', async () => {
     const answer = await client.chat.completions.create({ model: MODEL, messages });
     expect(answer.choices[0]?.message.content).to.equal(chatAnswer);
     expect(answer.choices[0]?.finish_reason).to.equal('stop');
     expect(answer.usage?.completion_tokens).to.equal(chatAnswer.split(' ').length);
   });
 
-  it('gets a chat answer token by token, with usage where asked for', async () => {
+  it('gets a streamed chat answer, with usage if requested', async () => {
     const stream_options = { include_usage: true };
     const stream = await client.chat.completions.create({
       ...{ model: MODEL, messages, temperature: 0.2 },
@@ -54,7 +54,7 @@
     expect(total).to.be.greaterThan(texts.length - 2);
   });
 
-  it('gets a text completion, cut at the length asked for', async () => {
+  it('gets a text completion truncated at max_tokens', async () => {
     const answer = await client.completions.create({
       ...{ model: MODEL, prompt: QUESTION, max_tokens: 5 },
     });
@@ -62,7 +62,7 @@
     expect(answer.choices[0]).to.include({ text: expected.text, finish_reason: 'length' });
   });
 
-  it('reaches an adapter as model:adapter, and only those that a group lists', async () => {
+  it('selects an adapter as model:adapter, if an engine group lists it', async () => {
     const answer = await client.completions.create({ model: `${MODEL}:torque`, prompt: QUESTION });
     expect(answer.choices[0]?.finish_reason).to.equal('stop');
     const unknown = await failureOf(
@@ -71,7 +71,7 @@
     expect(unknown).to.be.instanceOf(NotFoundError).and.to.include({ code: 'unknown-model' });
   });
 
-  it('stops the engine by aborting, and the node has the request no longer in flight', async () => {
+  it('cancels the generation and the request in flight when it aborts', async () => {
     const abort = new AbortController();
     const prompt = 'Copy this chamber log out. [[answer:20000]]';
     const stream = await client.completions.create(
@@ -83,9 +83,9 @@
       chunks += chunk.choices.length;
       if (chunks >= 3) abort.abort();
     }
-    const ends = () => cluster.engines.flatMap((engine) => engine.entries());
+    const entries = () => cluster.engines.flatMap((engine) => engine.entries());
     await waitUntil('the engine has stopped', () =>
-      ends().some(({ event }) => event === 'cancel' || event === 'disconnect'),
+      entries().some(({ event }) => event === 'cancel' || event === 'disconnect'),
     );
     await waitUntil('nothing is in flight', async () => {
       const status = await cluster.nodes[0]?.status();
@@ -93,7 +93,7 @@
     });
   });
 
-  it('meets the error classes of its library', async () => {
+  it('maps failures to its error classes', async () => {
     const create = (model: string, team: string) =>
       failureOf(createClient(team).chat.completions.create({ model, messages }));
     expect(await create(MODEL, 'nobody')).to.be.instanceOf(AuthenticationError);
@@ -105,7 +105,7 @@
     expect(malformed).to.be.instanceOf(BadRequestError).and.to.include({ param: 'n' });
   });
 
-  it('is told not to repeat what may have run, and never gets a broken stream as whole', async () => {
+  it('must not retry what may have run, and gets no [DONE] after a broken stream', async () => {
     for (const engine of cluster.engines) {
       engine.setFault({ kind: 'break-mid-stream', afterTokens: 3 });
     }
--- a/test/caller/requests.test.ts
+++ b/test/caller/requests.test.ts
@@ -3,7 +3,7 @@
 import type { EntryPoints } from '../../src/membership/index.js';
 import { keyOf, MODEL, startCluster, waitUntil, type Cluster } from '../fixtures/cluster.js';
 
-describe('what became of a request', () => {
+describe('the status of a request', () => {
   let cluster: Cluster;
 
   before(async () => {
@@ -24,42 +24,46 @@
     });
   }
 
-  async function look(node: number, id: string, team = 'kumasi'): Promise<RequestStatus | number> {
+  async function fetchStatus(
+    node: number,
+    id: string,
+    team = 'kumasi',
+  ): Promise<RequestStatus | number> {
     const headers = { authorization: `Bearer ${keyOf(team)}` };
     const answer = await fetch(`${origin(node)}/v1/requests/${id}`, { headers });
     return answer.status === 200 ? ((await answer.json()) as RequestStatus) : answer.status;
   }
 
-  it('is told by any node, to its own team alone', async () => {
+  it('is available at any node, to its own team only', async () => {
     const answer = await generate('Is the torque right?');
     const id = answer.headers.get('x-request-id') ?? '';
     expect(await answer.json()).to.include({ id });
-    const fate = { requestId: id, team: 'kumasi', state: 'answered' };
-    expect(await look(0, id)).to.deep.equal(fate);
-    expect(await look(1, id)).to.deep.equal(fate);
-    expect(await look(0, id, 'accra')).to.equal(404);
-    expect(await look(1, id, 'accra')).to.equal(404);
-    expect(await look(1, 'n9~nothing')).to.equal(404);
+    const status = { requestId: id, team: 'kumasi', state: 'answered' };
+    expect(await fetchStatus(0, id)).to.deep.equal(status);
+    expect(await fetchStatus(1, id)).to.deep.equal(status);
+    expect(await fetchStatus(0, id, 'accra')).to.equal(404);
+    expect(await fetchStatus(1, id, 'accra')).to.equal(404);
+    expect(await fetchStatus(1, 'n9~nothing')).to.equal(404);
   });
 
   it('is "running" until the answer has ended', async () => {
     const answer = await generate('Explain. [[answer:200]]', { stream: true });
     const id = answer.headers.get('x-request-id') ?? '';
-    expect(await look(1, id)).to.include({ state: 'running' });
+    expect(await fetchStatus(1, id)).to.include({ state: 'running' });
     expect(await answer.text()).to.contain('[DONE]');
-    expect(await look(1, id)).to.include({ state: 'answered' });
+    expect(await fetchStatus(1, id)).to.include({ state: 'answered' });
   });
 
-  it('says why a request was not run', async () => {
+  it('includes why a request was not run', async () => {
     for (const engine of cluster.engines) {
       engine.setFault({ kind: 'unavailable', path: '/v1/completions' });
     }
     const answer = await generate('Is the torque right?');
     const id = answer.headers.get('x-request-id') ?? '';
-    const fate = (await look(1, id)) as RequestStatus;
+    const status = (await fetchStatus(1, id)) as RequestStatus;
     expect(answer.status).to.be.within(429, 503);
-    expect(fate).to.include({ state: 'not-run' });
-    expect(fate.failure?.outcome).to.equal('not-run');
+    expect(status).to.include({ state: 'not-run' });
+    expect(status.failure?.outcome).to.equal('not-run');
     for (const engine of cluster.engines) {
       engine.setFault({ kind: 'none' });
     }
@@ -67,7 +71,7 @@
 });
 
 describe('a node that is stopped', () => {
-  it('leaves the entry points, refuses new work in the end and cuts no answer', async () => {
+  it('is removed from the entry points, refuses new work and completes running answers', async () => {
     const cluster = await startCluster({ nodes: 2, workers: 0, stepMs: 10 });
     const [leaving, staying] = cluster.nodes;
     const ask = (prompt: string) =>
@@ -77,7 +81,7 @@
         body: JSON.stringify({ model: MODEL, prompt, max_tokens: 1_000, stream: true }),
       });
     const listed = async () => {
-      // No API key: callers ask this before anything else.
+      // needs no API key
       const answer = await fetch(`${staying?.origin ?? ''}/v1/entry-points?zone=tema-hall`);
       const { entryPoints } = (await answer.json()) as EntryPoints;
       return entryPoints.map(({ address }) => address);
--- a/test/caller/secrets.test.ts
+++ b/test/caller/secrets.test.ts
@@ -25,7 +25,7 @@
 
   after(() => cluster.stop());
 
-  it('reach neither log nor metrics, whether requests are right or wrong', async () => {
+  it('appear neither in the log nor in metrics, for valid and invalid requests', async () => {
     const [node] = cluster.nodes;
     const send = (key: string, body: object) =>
       fetch(`${node?.origin ?? ''}/v1/completions`, {
@@ -45,7 +45,7 @@
     }
   });
 
-  it('a process without the peer key gets no word in', async () => {
+  it('a process without the peer key is disconnected after the handshake message', async () => {
     const address = cluster.nodes[0]?.addresses.peer ?? '';
     const socket = new WebSocket(`ws://${address}`);
     let received = 0;
--- a/test/caller/start.test.ts
+++ b/test/caller/start.test.ts
@@ -9,13 +9,13 @@
 import { createTableStandIn, createVmListStandIn } from '../../stand-ins/index.js';
 import { createSettings, keyOf, startNode, waitUntil } from '../fixtures/cluster.js';
 
-const NOWHERE = 'http://127.0.0.1:9';
-const platform = { tableService: NOWHERE, objectStore: NOWHERE, vmList: NOWHERE };
+const UNREACHABLE = 'http://127.0.0.1:9';
+const platform = { tableService: UNREACHABLE, objectStore: UNREACHABLE, vmList: UNREACHABLE };
 
-/** A process that should have ended by itself is killed after this long, and its test fails. */
+/** Time after which a process that has not exited is killed, which fails its test. */
 const PROCESS_TIMEOUT_MS = 10_000;
 
-interface Ending {
+interface ProcessResult {
   code: number | null;
   output: string;
 }
@@ -31,7 +31,7 @@
     rmSync(folder, { recursive: true });
   });
 
-  async function run(settings: object): Promise<Ending> {
+  async function run(settings: object): Promise<ProcessResult> {
     const file = path.join(folder, 'node.json');
     writeFileSync(file, JSON.stringify(settings));
     const child = spawn(process.execPath, ['dist/src/cli/main.js', 'node', '--settings', file], {
@@ -52,33 +52,36 @@
     return { ...common, listen: { ...addresses, ...listen } };
   }
 
-  it('names a wrong port in its settings and what was expected', async () => {
+  it('reports an invalid port in its settings and what was expected', async () => {
     const { code, output } = await run(settingsWith({ caller: '127.0.0.1:70000' }));
     expect(code).to.equal(2);
     expect(output).to.contain('listen.caller').and.to.contain('expected a port up to 65535');
   });
 
-  it('names an unknown key', async () => {
+  it('reports an unknown key', async () => {
     const { code, output } = await run({ ...settingsWith({}), portt: 1 });
     expect(code).to.equal(2);
     expect(output).to.contain('portt');
   });
 
-  it('ends with a line that says what to do when an address is taken', async () => {
+  it('exits with advice when an address is in use', async () => {
     const server = createServer();
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    const taken = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+    const usedAddress = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     for (const front of ['caller', 'operator', 'peer']) {
-      const { code, output } = await run(settingsWith({ [front]: taken }));
+      const { code, output } = await run(settingsWith({ [front]: usedAddress }));
       expect(code, front).to.equal(1);
-      expect(output).to.contain('"event":1004').and.to.contain(taken).and.to.contain('advice');
+      expect(output)
+        .to.contain('"event":1004')
+        .and.to.contain(usedAddress)
+        .and.to.contain('advice');
     }
     server.close();
   });
 });
 
 describe('a node that starts without its table service', () => {
-  it('says what to do, takes no work, and serves once the table is back', async () => {
+  it('logs advice, refuses work, and serves once the table service is available', async () => {
     const table = await createTableStandIn();
     const vmList = await createVmListStandIn({ vms: [] });
     table.setFault({ kind: 'unavailable' });
