--- a/src/caller/tracker.ts
+++ b/src/caller/tracker.ts
@@ -1,23 +1,23 @@
 /**
- * Follows one request to its end: counts it in flight, remembers its fate and counts its outcome,
- * once.
+ * Tracks a request until it ends: counts it in flight, stores its status, and counts and logs its
+ * outcome once.
  */
 import { createUnknownOutcome, type Failure } from '../errors/index.js';
 import type { CallerParts } from './parts.js';
 
-/** Follows one request. */
-export interface Tracker {
-  answer(): void;
+/** Tracks one request. */
+export interface RequestTracker {
+  succeed(): void;
   /** @returns the failure, for the answer */
   fail(failure: Failure): Failure;
 }
 
 /**
- * Starts to follow a request.
+ * Starts to track a request.
  *
  * @param parts the node's request statuses and metrics
- * @param requestId the request
- * @param team whose it is
+ * @param requestId the request's id
+ * @param team the team that sent it
  * @param className its class, for the metrics
  */
 export function createTracker(
@@ -25,7 +25,7 @@
   requestId: string,
   team: string,
   className: string,
-): Tracker {
+): RequestTracker {
   const { requestStatuses, metrics, log } = parts;
   let ended = false;
   requestStatuses.begin(requestId, team);
@@ -46,7 +46,7 @@
   }
 
   return {
-    answer() {
+    succeed() {
       end('answered');
     },
     fail(failure) {
@@ -57,14 +57,15 @@
 }
 
 /**
- * Does the work of a request. Work that throws ends the request too, so that none stays in flight.
+ * Runs the work of a request. If it throws, the request is ended as failed, so that it does not stay
+ * counted in flight.
  *
- * @param tracker what follows the request
+ * @param tracker the request's tracker
  * @param node this node, for the failure
- * @param work what is to be done
+ * @param work the work
  */
-export async function endWith<Value>(
-  tracker: Tracker,
+export async function runTracked<Value>(
+  tracker: RequestTracker,
   node: string,
   work: () => Promise<Value>,
 ): Promise<Value> {
@@ -77,14 +78,14 @@
 }
 
 /**
- * The failure of a request whose handling threw.
+ * Creates the failure of a request whose handler threw.
  *
  * @param node this node
  */
 export function createInternalFailure(node: string): Failure {
   return createUnknownOutcome({
     code: 'internal',
-    message: 'the node failed; its log says more under event 1005',
+    message: 'internal error; see event 1005 in the log of the node',
     step: 'answer.deliver',
     peer: node,
   });
