--- a/src/gateway/engine-calls.ts
+++ b/src/gateway/engine-calls.ts
@@ -4,14 +4,14 @@
 import { Err } from 'ts-results-es';
 import type { Backpressure } from '../backpressure/index.js';
 import type { RoleOrders } from '../roles/index.js';
-import type { CacheLists } from '../scheduling/index.js';
+import type { CacheInventory } from '../scheduling/index.js';
 
 const PAUSED = 'the engine has asked for a pause';
 
 /** Calls to engines. */
 export interface EngineCalls {
   roleOrders: RoleOrders;
-  caches: CacheLists;
+  caches: CacheInventory;
 }
 
 /**
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -32,7 +32,7 @@
 import {
   allMechanisms,
   createJobSubmitter,
-  type CacheLists,
+  type CacheInventory,
   type SchedulingMechanisms,
 } from '../scheduling/index.js';
 import { createGuardedClock, wait, type Clock, type RandomSource } from '../task/index.js';
@@ -86,7 +86,7 @@
   routes: RowFeed<RoutingDocument>;
   registry: RowFeed<RegistryChange>;
   roleOrders: RoleOrders;
-  caches: CacheLists;
+  caches: CacheInventory;
   /** Decodes routes that a peer passed on; `undefined`, with a log line, when it cannot. */
   parseRoutes(text: string): RoutingDocument | undefined;
   readinessAnswer(isReady: boolean): StatusAnswer;
@@ -285,7 +285,7 @@
     orders: engineCalls.roleOrders,
     services: ownServices,
     engines: (service) => fleet.available(service),
-    generatingLoad: (service) => schedulers.local(service).generatingLoad(),
+    generatingLoad: (service) => schedulers.local(service).peakDecodeLoad(),
     roleChangeMs: (service) => findService(service)?.engine?.roleChangeMs ?? 0,
   });
   const relay: RelayParts = {
--- a/src/gateway/peering.ts
+++ b/src/gateway/peering.ts
@@ -175,11 +175,11 @@
       })
       .with({ kind: 'job.read' }, ({ id }) => {
         const service = submitted.get(node)?.get(id);
-        if (service !== undefined) parts.scheduler(service).promptRead(id);
+        if (service !== undefined) parts.scheduler(service).prefillCompleted(id);
       })
       .with({ kind: 'job.begun' }, ({ id }) => {
         const service = submitted.get(node)?.get(id);
-        if (service !== undefined) parts.scheduler(service).begun(id);
+        if (service !== undefined) parts.scheduler(service).firstTokenReceived(id);
       })
       .with({ kind: 'job.finished' }, ({ id, outcome }) => {
         finish(node, id, outcome);
@@ -204,7 +204,7 @@
         },
       )
       .with({ kind: 'job.queued' }, { kind: 'job.placed' }, { kind: 'job.declined' }, (answer) => {
-        parts.submitter.answered(node, answer);
+        parts.submitter.answerReceived(node, answer);
       })
       .exhaustive();
   }
@@ -224,7 +224,7 @@
         finish(node, id);
       }
       submitted.delete(node);
-      parts.submitter.lost(node);
+      parts.submitter.peerLost(node);
       parts.quarantine.peerLost(node);
       parts.backpressure.peerLost(node);
     },
--- a/src/gateway/schedulers.ts
+++ b/src/gateway/schedulers.ts
@@ -7,11 +7,11 @@
 import type { RegisteredServer } from '../fleet/index.js';
 import type { GatewayState } from '../peers/index.js';
 import {
-  createPaces,
+  createLatencyModels,
   createScheduler,
-  resolveHolder,
-  type CacheLists,
-  type Paces,
+  resolveSchedulingGateway,
+  type CacheInventory,
+  type LatencyModels,
   type Scheduler,
   type SchedulingGateway,
   type SchedulingMechanisms,
@@ -33,7 +33,7 @@
   engines(service: string): readonly RegisteredServer[];
   /** Tokens that the cache of one engine holds. */
   cacheTokens(service: string): number;
-  caches: CacheLists;
+  caches: CacheInventory;
   /** Room within the limits that engines have named. */
   limits: SendLimits;
   mechanisms: SchedulingMechanisms;
@@ -63,7 +63,7 @@
 export function createSchedulers(parts: SchedulersParts): Schedulers {
   const { clock, log, self } = parts;
   const byService = new Map<string, Scheduler>();
-  const paces = new Map<string, Paces>();
+  const paces = new Map<string, LatencyModels>();
   let ready: SchedulingGateway[] = [];
   let readyOf: readonly GatewayState[] | undefined;
   /** Who is asked for each service, the first that is drawn first, until the peers change. */
@@ -79,17 +79,17 @@
     return ready;
   }
 
-  function pacesOf(service: string): Paces {
+  function pacesOf(service: string): LatencyModels {
     const known = paces.get(service);
     if (known !== undefined) return known;
-    const created = createPaces();
+    const created = createLatencyModels();
     paces.set(service, created);
     return created;
   }
 
   function resolveAmong(service: string, isAvoided: (node: string) => boolean): string {
     const left = listReady().filter(({ node }) => !isAvoided(node));
-    return resolveHolder(service, left.length > 0 ? left : [self]);
+    return resolveSchedulingGateway(service, left.length > 0 ? left : [self]);
   }
 
   function holderOf(service: string, isAvoided: (node: string) => boolean = () => false): string {
@@ -122,7 +122,7 @@
         clock,
         log,
         mechanisms: parts.mechanisms,
-        paces: pacesOf(service),
+        latencyModels: pacesOf(service),
         engines: () => parts.engines(service),
         cacheTokens: () => parts.cacheTokens(service),
         caches: parts.caches,
--- a/src/relay/engine-placer.ts
+++ b/src/relay/engine-placer.ts
@@ -146,7 +146,7 @@
     reads += 1;
     const outcome = await readPrompt(context, reading, limitMs);
     if (outcome.kind === 'read') {
-      scheduled?.promptRead();
+      scheduled?.prefillCompleted();
       hasRead = true;
       kept = { address: reading.address, handle: outcome.handle };
       keeper = reading;
@@ -183,7 +183,7 @@
   return {
     place,
     begun() {
-      scheduled?.begun();
+      scheduled?.firstTokenReceived();
     },
     sent(placed, outcome) {
       // a server that did not run the request has left the prompt where it was
--- a/src/scheduling/admission.ts
+++ b/src/scheduling/admission.ts
@@ -5,40 +5,40 @@
  * costs the fleet least; what cannot waits for spare time if that is likely to come; the rest is
  * turned away at once and told when there will be room.
  */
-import { ENGINE_TIME_WEIGHT, LATE_SAFETY, MOST_ENGINE_TIME_WEIGHT } from './policy.js';
+import { ENGINE_TIME_WEIGHT, LATE_SAFETY_FACTOR, MAX_ENGINE_TIME_WEIGHT } from './policy.js';
 
 /** What reading a prompt at one engine would mean; times in milliseconds. */
-export interface Prospect {
+export interface PrefillEstimate {
   /** Until the engine starts on it. */
-  waitMs: number;
-  readMs: number;
+  queueDelayMs: number;
+  prefillMs: number;
   /** Time of an engine that the choice goes by. */
-  weighedReadMs: number;
+  scoredPrefillMs: number;
   /** From the end of the read to the first event. */
-  restMs: number;
+  handoffMs: number;
   /** What the place costs besides, as time. */
-  surchargeMs: number;
+  penaltyMs: number;
   /** Another request that is as urgent would become late. */
-  harmsOthers: boolean;
+  delaysOthers: boolean;
   /** Work that waits there although it will be late. */
-  lateMs: number;
+  lateBacklogMs: number;
 }
 
 /** What is decided on a request. */
-export type Admission<Option extends Prospect> =
+export type Admission<Option extends PrefillEstimate> =
   | { kind: 'punctual'; option: Option }
   | { kind: 'late'; option: Option }
   | { kind: 'declined'; retryAfterMs: number; backlogMs: number };
 
 /** What is known of the request. */
-export interface Demand {
-  aimLeftMs: number;
+export interface AdmissionTerms {
+  objectiveLeftMs: number;
   timeLeftMs: number;
   /** Time by which predictions are usually exceeded, in milliseconds. */
   marginMs: number;
   mayBeLate: boolean;
   /** Part of the engines' time that is left beside what is on time. */
-  spareShare: number;
+  spareCapacity: number;
 }
 
 /** Shortest time after which a refused caller is told to come back, in ms: several ways there and
@@ -53,14 +53,14 @@
  * @param options where its prompt could be read; not empty
  * @param demand what is known of it
  */
-export function resolveAdmission<Option extends Prospect>(
+export function resolveAdmission<Option extends PrefillEstimate>(
   options: readonly Option[],
-  demand: Demand,
+  demand: AdmissionTerms,
 ): Admission<Option> {
   const best = findBest(options, (option) => scoreOf(option, demand));
   if (best !== undefined && isPunctual(best, demand)) return { kind: 'punctual', option: best };
   const ofUse = demand.mayBeLate ? options.filter((option) => isOfUse(option, demand)) : [];
-  const late = findBest(ofUse, (option) => scoreOf(option, demand) + option.lateMs);
+  const late = findBest(ofUse, (option) => scoreOf(option, demand) + option.lateBacklogMs);
   if (late !== undefined) return { kind: 'late', option: late };
   return resolveDecline(options, demand);
 }
@@ -71,27 +71,39 @@
  * @param timeLeftMs time until the answer is of no use, in milliseconds
  * @param waitMs time until there will be room, in milliseconds
  */
-export function resolveReturnMs(timeLeftMs: number, waitMs: number): number {
+export function resolveRetryAfterMs(timeLeftMs: number, waitMs: number): number {
   return Math.min(timeLeftMs * MAX_WAIT_SHARE, waitMs);
 }
 
 /** Time until the first event. */
-export function resolveReadyMs({ waitMs, readMs, restMs }: Prospect): number {
+export function resolveFirstTokenMs({
+  queueDelayMs: waitMs,
+  prefillMs: readMs,
+  handoffMs: restMs,
+}: PrefillEstimate): number {
   return waitMs + readMs + restMs;
 }
 
-function isPunctual(option: Prospect, { aimLeftMs, marginMs }: Demand): boolean {
-  return !option.harmsOthers && resolveReadyMs(option) + marginMs <= aimLeftMs;
+function isPunctual(
+  option: PrefillEstimate,
+  { objectiveLeftMs: aimLeftMs, marginMs }: AdmissionTerms,
+): boolean {
+  return !option.delaysOthers && resolveFirstTokenMs(option) + marginMs <= aimLeftMs;
 }
 
-function isOfUse(option: Prospect, demand: Demand): boolean {
-  const expectedMs = resolveLateReadyMs(option, demand.spareShare);
-  return LATE_SAFETY * expectedMs + demand.marginMs <= demand.timeLeftMs;
+function isOfUse(option: PrefillEstimate, demand: AdmissionTerms): boolean {
+  const expectedMs = resolveLateFirstTokenMs(option, demand.spareCapacity);
+  return LATE_SAFETY_FACTOR * expectedMs + demand.marginMs <= demand.timeLeftMs;
 }
 
 /** Time until the first event of a request that is read in spare time. */
-export function resolveLateReadyMs(option: Prospect, spareShare: number): number {
-  const { waitMs, lateMs, readMs, restMs } = option;
+export function resolveLateFirstTokenMs(option: PrefillEstimate, spareShare: number): number {
+  const {
+    queueDelayMs: waitMs,
+    lateBacklogMs: lateMs,
+    prefillMs: readMs,
+    handoffMs: restMs,
+  } = option;
   return (waitMs + lateMs) / spareShare + readMs + restMs;
 }
 
@@ -100,9 +112,14 @@
  * of it is left. A request takes the cheapest place or none: going on to the next one in overload,
  * where all parts have to be read again, takes the time of two other requests for one.
  */
-function scoreOf(option: Prospect, { spareShare }: Demand): number {
-  const weight = Math.min(MOST_ENGINE_TIME_WEIGHT, ENGINE_TIME_WEIGHT / spareShare);
-  const { waitMs, weighedReadMs, restMs, surchargeMs } = option;
+function scoreOf(option: PrefillEstimate, { spareCapacity: spareShare }: AdmissionTerms): number {
+  const weight = Math.min(MAX_ENGINE_TIME_WEIGHT, ENGINE_TIME_WEIGHT / spareShare);
+  const {
+    queueDelayMs: waitMs,
+    scoredPrefillMs: weighedReadMs,
+    handoffMs: restMs,
+    penaltyMs: surchargeMs,
+  } = option;
   return waitMs + restMs + (1 + weight) * weighedReadMs + surchargeMs;
 }
 
@@ -123,19 +140,19 @@
 
 /** The caller comes back when the shortest queue has drained as far as it has to. */
 function resolveDecline(
-  options: readonly Prospect[],
-  { aimLeftMs, timeLeftMs, marginMs, spareShare }: Demand,
+  options: readonly PrefillEstimate[],
+  { objectiveLeftMs: aimLeftMs, timeLeftMs, marginMs, spareCapacity: spareShare }: AdmissionTerms,
 ): Admission<never> {
   let backlogMs = Number.POSITIVE_INFINITY;
   let surplusMs = Number.POSITIVE_INFINITY;
   for (const option of options) {
-    backlogMs = Math.min(backlogMs, option.waitMs);
-    surplusMs = Math.min(surplusMs, resolveReadyMs(option) + marginMs - aimLeftMs);
+    backlogMs = Math.min(backlogMs, option.queueDelayMs);
+    surplusMs = Math.min(surplusMs, resolveFirstTokenMs(option) + marginMs - aimLeftMs);
   }
   const drainedMs = Math.max(MIN_RETRY_AFTER_MS, surplusMs / spareShare);
   return {
     kind: 'declined',
-    retryAfterMs: resolveReturnMs(timeLeftMs, drainedMs),
+    retryAfterMs: resolveRetryAfterMs(timeLeftMs, drainedMs),
     backlogMs,
   };
 }
--- a/src/scheduling/cache-model.ts
+++ b/src/scheduling/cache-model.ts
@@ -11,11 +11,11 @@
 /** The cache of one engine, as a model. */
 export interface CacheModel {
   /** Tokens of a prompt that the engine would have to read. */
-  unreadTokens(prompt: Prompt): number;
+  uncachedTokens(prompt: Prompt): number;
   /** A prompt was sent to the engine: its parts are now the most recently used. */
-  use(prompt: Prompt): void;
+  recordUse(prompt: Prompt): void;
   /** Takes in what the engine says that it keeps, as used before everything that is known. */
-  learn(parts: readonly CachedPart[]): void;
+  addReported(parts: readonly CachedPart[]): void;
 }
 
 /**
@@ -45,7 +45,7 @@
   }
 
   return {
-    unreadTokens(prompt) {
+    uncachedTokens(prompt) {
       let cached = 0;
       for (const part of prompt.parts) {
         if (!held.has(keyOf(prompt.model, part.id))) break;
@@ -53,13 +53,13 @@
       }
       return Math.max(0, prompt.tokens - cached);
     },
-    use(prompt) {
+    recordUse(prompt) {
       for (const part of prompt.parts) {
         touch(keyOf(prompt.model, part.id), part.tokens);
       }
       evict();
     },
-    learn(parts) {
+    addReported(parts) {
       const newer = held;
       held = new Map();
       heldTokens = 0;
--- a/src/scheduling/cached-parts.ts
+++ b/src/scheduling/cached-parts.ts
@@ -13,7 +13,7 @@
 }
 
 /** Asks engines for what they keep. */
-export interface CacheLists {
+export interface CacheInventory {
   /** Everything that an engine keeps; asking for it delays the engine a little. */
   list(server: RegisteredServer): Promise<Result<readonly CachedPart[], string>>;
 }
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -5,28 +5,28 @@
  */
 import type { SendLimits } from '../backpressure/index.js';
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
-import type { EngineWatch } from './engine-watch.js';
+import type { EngineMonitor } from './engine-monitor.js';
 import type { Job } from './job.js';
 
 /** What the rule goes by. */
 export interface CandidatesParts {
   /** Engines of the service that take requests now. */
   engines(): readonly RegisteredServer[];
-  watch: EngineWatch;
+  monitor: EngineMonitor;
   limits: SendLimits;
   /** Requests that an engine was given or that wait for it. */
-  inUse(id: string): number;
+  requestCount(id: string): number;
 }
 
 /** Engines that may be given a request. */
 export interface Candidates {
   list(job: Job, role: EngineRole): RegisteredServer[];
   /** Whether an engine may read a request's prompt. */
-  mayRead(id: string, job: Job): boolean;
+  mayPrefill(id: string, job: Job): boolean;
   /** An engine of the service by its id. */
   find(id: string): RegisteredServer | undefined;
   /** The engine that generates whose limit leaves room first, of those that leave none now. */
-  firstLimited(job: Job): string | undefined;
+  findSoonestAvailable(job: Job): string | undefined;
 }
 
 /**
@@ -35,14 +35,14 @@
  * @param parts the engines and how they fare
  */
 export function createCandidates(parts: CandidatesParts): Candidates {
-  const { watch, limits } = parts;
+  const { monitor: watch, limits } = parts;
 
   /** Engines of a role that seem sound, for all and for the gateway that asks. */
   function listSound(job: Job, role: EngineRole): RegisteredServer[] {
     const sound: RegisteredServer[] = [];
     for (const engine of listFit(job, role)) {
       if (job.avoided.includes(engine.id)) continue;
-      if (watch.mayTake(engine.id, parts.inUse(engine.id))) sound.push(engine);
+      if (watch.isAvailable(engine.id, parts.requestCount(engine.id))) sound.push(engine);
     }
     return sound;
   }
@@ -70,13 +70,13 @@
 
   return {
     list,
-    mayRead(id, job) {
+    mayPrefill(id, job) {
       for (const engine of list(job, 'prefill')) {
         if (engine.id === id) return true;
       }
       return false;
     },
-    firstLimited(job) {
+    findSoonestAvailable(job) {
       let first: string | undefined;
       let leastMs = Number.POSITIVE_INFINITY;
       for (const { id, role } of parts.engines()) {
--- a/src/scheduling/generating-engines.ts
+++ b/src/scheduling/decode-engines.ts
@@ -4,7 +4,7 @@
  * KV caches cross zones slowly.
  */
 import type { RegisteredServer } from '../fleet/index.js';
-import { OTHER_ZONE_MS } from './policy.js';
+import { OTHER_ZONE_PENALTY_MS } from './policy.js';
 
 /** How many requests a generating engine is given, as a share of its slots: a few wait at the engine
  * itself, most urgent first, so that a slot never stands empty. Less urgent ones do not count, since
@@ -19,10 +19,10 @@
 const ZONE_PREFERENCE = 2;
 /** What a millisecond weighs that an engine is taken by reads and transfers, in running requests: as
  * the two weigh against another availability zone. */
-const BUSY_WEIGHT = ZONE_PREFERENCE / OTHER_ZONE_MS;
+const BUSY_WEIGHT = ZONE_PREFERENCE / OTHER_ZONE_PENALTY_MS;
 
 /** Follows the engines that generate. */
-export interface GeneratingEngines {
+export interface DecodeEngines {
   /**
    * Chooses an engine.
    *
@@ -53,7 +53,7 @@
 }
 
 /** Creates a count of nothing. */
-export function createGeneratingEngines(): GeneratingEngines {
+export function createDecodeEngines(): DecodeEngines {
   /** Requests at each engine, by rank. */
   const counts = new Map<string, Map<number, number>>();
   /** Prompt tokens at each engine. */
--- a/src/scheduling/generating-load.ts
+++ b/src/scheduling/decode-load.ts
@@ -3,7 +3,7 @@
  * engine's slots or of its memory, whichever is more, and transfers of prompts, which an engine's link takes one after another. The peak
  * counts, since a change of roles takes longer than a burst.
  */
-import { createRecentWork } from './recent-work.js';
+import { createRecentLoad } from './recent-load.js';
 
 /** Time over which running requests are averaged, in ms. */
 const MEMORY_MS = 1_000;
@@ -15,18 +15,18 @@
 const LEAST_SEEN_MS = 5_000;
 
 /** The work of generating. */
-export interface GeneratingLoad {
+export interface DecodeLoad {
   /** Requests run now, in full engines. */
-  note(running: number, now: number): void;
+  observe(running: number, now: number): void;
   /** A transfer begins that takes so many milliseconds. */
-  noteTransfer(transferMs: number, now: number): void;
+  observeTransfer(transferMs: number, now: number): void;
   /** The most of the latest time; `undefined` while too little was seen. */
   peak(now: number): number | undefined;
 }
 
 /** Creates a record of no work. */
-export function createGeneratingLoad(): GeneratingLoad {
-  const transfers = createRecentWork();
+export function createDecodeLoad(): DecodeLoad {
+  const transfers = createRecentLoad();
   let running = 0;
   let peak = 0;
   let at = 0;
@@ -34,21 +34,21 @@
   let firstAt: number | undefined;
 
   function follow(now: number): void {
-    const load = running + transfers.busy(now);
+    const load = running + transfers.busyEngines(now);
     const faded = peak * Math.exp((at - now) / PEAK_MEMORY_MS);
     peak = Math.max(load, faded);
     at = now;
   }
 
   return {
-    note(value, now) {
+    observe(value, now) {
       notes += 1;
       firstAt ??= now;
       running += (1 - Math.exp((at - now) / MEMORY_MS)) * (value - running);
       follow(now);
     },
-    noteTransfer(transferMs, now) {
-      transfers.note(transferMs, now);
+    observeTransfer(transferMs, now) {
+      transfers.record(transferMs, now);
     },
     peak(now) {
       if (notes < LEAST_NOTES || now - (firstAt ?? now) < LEAST_SEEN_MS) return undefined;
--- a/src/scheduling/engine-model.ts
+++ b/src/scheduling/engine-model.ts
@@ -5,8 +5,8 @@
 import type { EngineRole } from '../fleet/index.js';
 import { createCacheModel } from './cache-model.js';
 import type { CachedPart } from './cached-parts.js';
-import { resolveReadingWork, type Work } from './pace.js';
-import type { Paces } from './paces.js';
+import { resolvePrefillWork, type Work } from './latency-model.js';
+import type { LatencyModels } from './latency-models.js';
 import type { Prompt } from './prompt.js';
 import { createSerialWork, type SerialWork } from './serial-work.js';
 
@@ -25,24 +25,24 @@
 export interface EngineModel {
   readonly id: string;
   /** Reads that it was given. */
-  readonly reads: SerialWork;
+  readonly prefills: SerialWork;
   /** Prompts that it fetches from other engines. */
   readonly transfers: SerialWork;
   /** Time that reading a prompt would take it, in milliseconds; 0 while its pace is unknown. */
-  expectReadMs(role: EngineRole, prompt: Prompt): number;
+  estimatePrefillMs(role: EngineRole, prompt: Prompt): number;
   /**
    * Time for which it reads or has read prompts while it generates, of the latest `windowMs`
    * milliseconds and of what it still has to do.
    */
-  recentDirectMs(now: number, windowMs: number): number;
-  startRead(job: string, role: EngineRole, prompt: Prompt, now: number): void;
+  recentLocalPrefillMs(now: number, windowMs: number): number;
+  startPrefill(job: string, role: EngineRole, prompt: Prompt, now: number): void;
   /** A read ended; `isWhole` when the prompt was read to its end. */
-  endRead(job: string, isWhole: boolean, now: number): void;
+  endPrefill(job: string, isWhole: boolean, now: number): void;
   /** It fetches a prompt that another engine has read. */
   startTransfer(job: string, prompt: Prompt, work: Work, now: number): void;
   endTransfer(job: string, isWhole: boolean, now: number): void;
   /** Takes in what it says that it has cached. */
-  learnCache(parts: readonly CachedPart[]): void;
+  addCachedParts(parts: readonly CachedPart[]): void;
 }
 
 interface Read {
@@ -57,7 +57,11 @@
  * @param cacheTokens tokens that its cache holds
  * @param paces what is known of all engines of the service
  */
-export function createEngineModel(id: string, cacheTokens: number, paces: Paces): EngineModel {
+export function createEngineModel(
+  id: string,
+  cacheTokens: number,
+  paces: LatencyModels,
+): EngineModel {
   const cache = createCacheModel(cacheTokens);
   const reads = createSerialWork();
   const transfers = createSerialWork();
@@ -68,30 +72,30 @@
   let factor = 1;
 
   function resolveWork(prompt: Prompt): Work {
-    const unread = cache.unreadTokens(prompt);
-    return resolveReadingWork(unread, prompt.tokens - unread);
+    const unread = cache.uncachedTokens(prompt);
+    return resolvePrefillWork(unread, prompt.tokens - unread);
   }
 
   function expectMs(role: EngineRole, work: Work): number {
     const isAlike = factor > 1 / ODD_FACTOR && factor < ODD_FACTOR;
-    return (isAlike ? 1 : factor) * paces.expectReadMs(role, work);
+    return (isAlike ? 1 : factor) * paces.estimatePrefillMs(role, work);
   }
 
   function learn({ role, work }: Read, tookMs: number): void {
-    const usualMs = paces.expectReadMs(role, work);
+    const usualMs = paces.estimatePrefillMs(role, work);
     if (usualMs >= LEAST_TELLING_MS) {
       const ratio = Math.min(MOST_FACTOR, Math.max(1 / MOST_FACTOR, tookMs / usualMs));
       factor += FACTOR_WEIGHT * (ratio - factor);
     }
-    paces.learnRead(role, work, tookMs);
+    paces.observePrefill(role, work, tookMs);
   }
 
   return {
     id,
-    reads,
+    prefills: reads,
     transfers,
-    expectReadMs: (role, prompt) => expectMs(role, resolveWork(prompt)),
-    recentDirectMs(now, windowMs) {
+    estimatePrefillMs: (role, prompt) => expectMs(role, resolveWork(prompt)),
+    recentLocalPrefillMs(now, windowMs) {
       direct = direct.filter((read) => read.startedAt + read.expectedMs > now - windowMs);
       let sum = 0;
       for (const read of direct) {
@@ -99,33 +103,34 @@
       }
       return sum;
     },
-    startRead(job, role, prompt, now) {
+    startPrefill(job, role, prompt, now) {
       const work = resolveWork(prompt);
-      cache.use(prompt);
+      cache.recordUse(prompt);
       readWork.set(job, { role, work });
       const expectedMs = expectMs(role, work);
       reads.start(job, expectedMs, now);
       if (role === 'decode') direct.push({ startedAt: now, expectedMs });
     },
-    endRead(job, isWhole, now) {
+    endPrefill(job, isWhole, now) {
       const tookMs = reads.end(job, now);
       const read = readWork.get(job);
       readWork.delete(job);
       if (isWhole && read !== undefined && tookMs !== undefined) learn(read, tookMs);
     },
     startTransfer(job, prompt, work, now) {
-      cache.use(prompt);
+      cache.recordUse(prompt);
       transferWork.set(job, work);
-      transfers.start(job, paces.transfer.expectMs(work), now);
+      transfers.start(job, paces.transfer.estimateMs(work), now);
     },
-    learnCache(parts) {
-      cache.learn(parts);
+    addCachedParts(parts) {
+      cache.addReported(parts);
     },
     endTransfer(job, isWhole, now) {
       const tookMs = transfers.end(job, now);
       const work = transferWork.get(job);
       transferWork.delete(job);
-      if (isWhole && work !== undefined && tookMs !== undefined) paces.transfer.learn(work, tookMs);
+      if (isWhole && work !== undefined && tookMs !== undefined)
+        paces.transfer.observe(work, tookMs);
     },
   };
 }
--- a/src/scheduling/engine-watch.ts
+++ b/src/scheduling/engine-monitor.ts
@@ -17,31 +17,31 @@
 const TIME_WEIGHT = 0.1;
 
 /** How engines fare. */
-export interface EngineWatch {
+export interface EngineMonitor {
   /**
    * Whether an engine may be given a request.
    *
    * @param inUse requests that it has already
    */
-  mayTake(id: string, inUse: number): boolean;
+  isAvailable(id: string, inUse: number): boolean;
   /**
    * Takes in how an engine's part in a request ended.
    *
    * @param since when the engine was given the request, on the gateway's clock
    */
-  judge(id: string, outcome: HealthOutcome, since: number): void;
+  recordOutcome(id: string, outcome: HealthOutcome, since: number): void;
   /** An engine has given a sign of life. */
-  heard(id: string): void;
+  recordResponse(id: string): void;
   /**
    * An engine is to generate.
    *
    * @param expectedMs how long it is expected to take until the first event, in milliseconds
    */
-  expect(job: string, engine: string, expectedMs: number): void;
+  expectFirstToken(job: string, engine: string, expectedMs: number): void;
   /** The first event of a generation has come. */
-  begun(job: string): void;
+  firstTokenReceived(job: string): void;
   /** A request has ended, however. */
-  ended(job: string): void;
+  requestEnded(job: string): void;
   /** An engine is gone for good. */
   forget(engine: string): void;
 }
@@ -58,7 +58,7 @@
  * @param clock the gateway's clock
  * @param log hears when an engine is avoided and when it is trusted again
  */
-export function createEngineWatch(clock: Clock, log: Log): EngineWatch {
+export function createEngineMonitor(clock: Clock, log: Log): EngineMonitor {
   const health = createFleetHealth(clock, log, sharedViewTerms);
   const expectations = new Map<string, Expectation>();
   /** When each engine last gave a sign of life. */
@@ -81,17 +81,17 @@
   }
 
   return {
-    mayTake: (id, inUse) => health.isUsable(id) && (inUse === 0 || !health.isOnTrial(id)),
-    judge(id, outcome, since) {
+    isAvailable: (id, inUse) => health.isUsable(id) && (inUse === 0 || !health.isOnTrial(id)),
+    recordOutcome(id, outcome, since) {
       if (outcome === 'good') heardAt.set(id, clock.now());
       if (outcome !== 'silent') health.record(id, outcome);
       // an engine that is heard is busy; one that is not is as good as out of reach
       else if (!isHeardSince(id, since)) health.record(id, 'unreachable');
     },
-    heard(id) {
+    recordResponse(id) {
       heardAt.set(id, clock.now());
     },
-    expect(job, engine, expectedMs) {
+    expectFirstToken(job, engine, expectedMs) {
       end(job);
       const silenceMs = Math.max(LEAST_SILENCE_MS, Math.max(usualMs, expectedMs) * SILENCE_FACTOR);
       const since = clock.now();
@@ -101,14 +101,14 @@
       const expectation: Expectation = { engine, since, timer };
       expectations.set(job, expectation);
     },
-    begun(job) {
+    firstTokenReceived(job) {
       const expectation = end(job);
       if (expectation === undefined) return;
       const now = clock.now();
       heardAt.set(expectation.engine, now);
       usualMs += TIME_WEIGHT * (now - expectation.since - usualMs);
     },
-    ended(job) {
+    requestEnded(job) {
       end(job);
     },
     forget(engine) {
--- a/src/scheduling/known-engines.ts
+++ b/src/scheduling/engine-states.ts
@@ -4,29 +4,29 @@
  */
 import type { Log } from '../events/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
-import type { CacheLists } from './cached-parts.js';
+import type { CacheInventory } from './cached-parts.js';
 import { createEngineModel, type EngineModel } from './engine-model.js';
-import type { Entry } from './entry.js';
-import type { Paces } from './paces.js';
-import { createReadingQueue, type ReadingQueue } from './reading-queue.js';
+import type { TrackedJob } from './tracked-job.js';
+import type { LatencyModels } from './latency-models.js';
+import { createPrefillQueue, type PrefillQueue } from './prefill-queue.js';
 
 /** What following engines needs. */
-export interface KnownEnginesParts {
+export interface EngineStatesParts {
   log: Log;
-  paces: Paces;
+  latencyModels: LatencyModels;
   /** Tokens that the cache of one engine holds. */
   cacheTokens(): number;
   /** Where engines are asked for what they have cached; they are not where it is absent. */
-  caches: CacheLists | undefined;
+  caches: CacheInventory | undefined;
   find(id: string): RegisteredServer | undefined;
 }
 
 /** Engines with what waits for them. */
-export interface KnownEngines {
+export interface EngineStates {
   model: (id: string) => EngineModel;
-  queue: (id: string) => ReadingQueue<Entry>;
+  queue: (id: string) => PrefillQueue<TrackedJob>;
   /** Reads that an engine was given or that wait for it. */
-  inUse(id: string): number;
+  requestCount(id: string): number;
   /** An engine is gone for good. */
   forget(id: string): void;
 }
@@ -36,17 +36,17 @@
  *
  * @param parts what is known of the service's engines
  */
-export function createKnownEngines(parts: KnownEnginesParts): KnownEngines {
-  const { log, paces, caches } = parts;
+export function createEngineStates(parts: EngineStatesParts): EngineStates {
+  const { log, latencyModels: paces, caches } = parts;
   const models = new Map<string, EngineModel>();
-  const queues = new Map<string, ReadingQueue<Entry>>();
+  const queues = new Map<string, PrefillQueue<TrackedJob>>();
 
   /**
    * Asks an engine for what it has cached. A scheduler that starts anew would otherwise take all
    * prompts for unread, turn away what can well be served, and have parts read again elsewhere: in
    * a replayed load whose scheduler ends at the peak, 78 of 100 long prompts are on time in place of 70.
    */
-  async function learnCache(engine: EngineModel, lists: CacheLists): Promise<void> {
+  async function learnCache(engine: EngineModel, lists: CacheInventory): Promise<void> {
     const server = parts.find(engine.id);
     if (server === undefined) return;
     const listed = await lists.list(server);
@@ -54,7 +54,7 @@
       log.write('engineCacheUnknown', { server: engine.id, reason: listed.error });
       return;
     }
-    engine.learnCache(listed.value);
+    engine.addCachedParts(listed.value);
     log.write('engineCacheListed', { server: engine.id, parts: listed.value.length });
   }
 
@@ -70,11 +70,11 @@
     queue(id) {
       const known = queues.get(id);
       if (known !== undefined) return known;
-      const created = createReadingQueue<Entry>();
+      const created = createPrefillQueue<TrackedJob>();
       queues.set(id, created);
       return created;
     },
-    inUse: (id) => (models.get(id)?.reads.count() ?? 0) + (queues.get(id)?.count() ?? 0),
+    requestCount: (id) => (models.get(id)?.prefills.count() ?? 0) + (queues.get(id)?.count() ?? 0),
     forget(id) {
       models.delete(id);
       queues.delete(id);
--- a/src/scheduling/job-submitter.ts
+++ b/src/scheduling/job-submitter.ts
@@ -74,9 +74,9 @@
 /** A request at its scheduler. */
 export interface ScheduledJob {
   /** Its prompt was read. */
-  promptRead(): void;
+  prefillCompleted(): void;
   /** The first event has come. */
-  begun(): void;
+  firstTokenReceived(): void;
   /**
    * It has ended.
    *
@@ -89,9 +89,9 @@
 export interface JobSubmitter {
   submit(job: Omit<Job, 'id' | 'zone'>, decided: (decision: Decision) => void): ScheduledJob;
   /** A word of another gateway's scheduler. */
-  answered(node: string, answer: SchedulerAnswer): void;
+  answerReceived(node: string, answer: SchedulerAnswer): void;
   /** A peer was lost: what it had is placed here. */
-  lost(node: string): void;
+  peerLost(node: string): void;
 }
 
 interface Submission {
@@ -194,8 +194,8 @@
       parts.send(submission.at, { kind, id });
       return;
     }
-    if (kind === 'job.read') parts.local(service).promptRead(id);
-    else parts.local(service).begun(id);
+    if (kind === 'job.read') parts.local(service).prefillCompleted(id);
+    else parts.local(service).firstTokenReceived(id);
   }
 
   function finish(submission: Submission, outcome: HealthOutcome | undefined): void {
@@ -221,10 +221,10 @@
       submissions.set(job.id, submission);
       submitAt(submission, schedulerOf(job.service));
       return {
-        promptRead() {
+        prefillCompleted() {
           tell(submission, 'job.read');
         },
-        begun() {
+        firstTokenReceived() {
           tell(submission, 'job.begun');
         },
         finished(outcome) {
@@ -235,7 +235,7 @@
         },
       };
     },
-    answered(from, answer) {
+    answerReceived(from, answer) {
       const submission = submissions.get(answer.id);
       if (submission?.at !== from) return;
       submission.silence?.cancel();
@@ -248,7 +248,7 @@
       const { reason, retryAfterMs, backlogMs } = answer;
       decide(submission, { kind: 'declined', reason, retryAfterMs, backlogMs });
     },
-    lost(from) {
+    peerLost(from) {
       moveFrom(from);
     },
   };
--- a/src/scheduling/margin.ts
+++ b/src/scheduling/latency-margin.ts
@@ -10,7 +10,7 @@
 const MOST_MS = 250;
 
 /** The margin of predictions. */
-export interface Margin {
+export interface LatencyMargin {
   /** Time by which predictions are usually exceeded, in milliseconds; not below 0. */
   marginMs(): number;
   /** Takes in how much later than predicted a first event came, in milliseconds. */
@@ -18,7 +18,7 @@
 }
 
 /** Creates a margin of 0. */
-export function createMargin(): Margin {
+export function createLatencyMargin(): LatencyMargin {
   let meanMs = 0;
   let deviationMs = 0;
   return {
--- a/src/scheduling/pace.ts
+++ b/src/scheduling/latency-model.ts
@@ -7,7 +7,7 @@
  * Answers: a cold start and a new kind of engine under full load. With a pace assumed for other
  * engines (300 tokens a ms where 64 was true), reads were queued and cut by wrong times.
  */
-import { createLinearEstimate } from './least-squares.js';
+import { createLinearModel } from './least-squares.js';
 
 /** An amount of work, in the quantities that its time grows with. */
 export interface Work {
@@ -31,18 +31,18 @@
 const MOST_SURPRISE = 2;
 
 /** How long work takes. */
-export interface Pace {
+export interface LatencyModel {
   /** Whether any work has ended yet. */
-  isKnown(): boolean;
+  hasSamples(): boolean;
   /** Time that work takes, in milliseconds; 0 while unknown. */
-  expectMs(work: Work): number;
+  estimateMs(work: Work): number;
   /** Takes a measured time in, in milliseconds. */
-  learn(work: Work, measuredMs: number): void;
+  observe(work: Work, measuredMs: number): void;
 }
 
 /** Creates a pace that is unknown. */
-export function createPace(): Pace {
-  const estimate = createLinearEstimate(PLAUSIBLE);
+export function createLatencyModel(): LatencyModel {
+  const estimate = createLinearModel(PLAUSIBLE);
   let samples = 0;
 
   function expectMs(work: Work): number {
@@ -50,9 +50,9 @@
   }
 
   return {
-    isKnown: () => samples > 0,
-    expectMs,
-    learn(work, measuredMs) {
+    hasSamples: () => samples > 0,
+    estimateMs: expectMs,
+    observe(work, measuredMs) {
       const expectedMs = expectMs(work);
       const believedMs = samples === 0 ? measuredMs : resolveBelieved(measuredMs, expectedMs);
       const deviationMs = DEVIATION_MS + DEVIATION_SHARE * believedMs;
@@ -68,7 +68,7 @@
  * @param unread tokens to be read
  * @param cached tokens before them
  */
-export function resolveReadingWork(unread: number, cached: number): Work {
+export function resolvePrefillWork(unread: number, cached: number): Work {
   return { tokens: unread, pairs: unread * (cached + unread / 2) };
 }
 
--- a/src/scheduling/least-squares.ts
+++ b/src/scheduling/least-squares.ts
@@ -8,7 +8,7 @@
 
 /** An estimate of a quantity as a weighted sum of known terms. No weight is negative, so that more of
  * a term never makes for less of the quantity. */
-export interface LinearEstimate {
+export interface LinearModel {
   /** The quantity for given terms, by all that was observed. */
   predict(terms: readonly number[]): number;
   /**
@@ -26,7 +26,7 @@
  *
  * @param deviations how far each weight may plausibly be from 0
  */
-export function createLinearEstimate(deviations: readonly number[]): LinearEstimate {
+export function createLinearModel(deviations: readonly number[]): LinearModel {
   let weights = deviations.map(() => 0);
   let covariance = createDiagonal(deviations);
 
--- a/src/scheduling/policy.ts
+++ b/src/scheduling/policy.ts
@@ -31,7 +31,7 @@
  * @param names names of mechanisms, joined by commas; empty for none
  * @returns the first name that is none, with those that there are
  */
-export function parseWithout(names: string): Result<SchedulingMechanisms, string> {
+export function parseDisabledMechanisms(names: string): Result<SchedulingMechanisms, string> {
   const mechanisms = { ...allMechanisms };
   for (const name of names.split(',')) {
     if (name === '') continue;
@@ -62,23 +62,23 @@
 /** Reads that an engine was given are to take so long at most before it gets another one, in ms: some
  * ways there and back between gateways and their processors' turns, so that it never stands idle
  * while prompts wait, and no more, since what it was given cannot be reordered. */
-export const COMMITTED_MS = 25;
+export const MAX_COMMITTED_MS = 25;
 /** What a millisecond of an engine's time weighs against a millisecond until the first event: what is
  * read in vain by one is missing for the next. */
 export const ENGINE_TIME_WEIGHT = 1;
 /** The same at most, where engines have no time left: prompts still leave an engine whose queue is
  * several reads longer than another's. */
-export const MOST_ENGINE_TIME_WEIGHT = 4;
+export const MAX_ENGINE_TIME_WEIGHT = 4;
 /** What reading in another availability zone weighs, in milliseconds until the first event: the bytes
  * that cross zones are charged. */
-export const OTHER_ZONE_MS = 8;
+export const OTHER_ZONE_PENALTY_MS = 8;
 /** How many times the expected time must be left for a request that will be late: waits behind
  * punctual requests vary by as much as they last. */
-export const LATE_SAFETY = 2;
+export const LATE_SAFETY_FACTOR = 2;
 /** Part of the longest pause between events that reads at an engine may take from those that generate
  * there: the rest is left for their own steps and for what was not foreseen. */
-export const PAUSE_SHARE = 0.5;
+export const MAX_STALL_SHARE = 0.5;
 /** Part of a request's objective that the margin of predictions may take. Without a bound, a spell in
  * which first events come late by more than the objective leaves nothing on time; nothing is then
  * observed that would lower the margin, and everything is late from there on. */
-export const MARGIN_SHARE = 0.25;
+export const MAX_MARGIN_SHARE = 0.25;
--- a/src/scheduling/reading-queue.ts
+++ b/src/scheduling/prefill-queue.ts
@@ -9,17 +9,17 @@
 /** A prompt that waits. */
 export interface WaitingPrompt {
   /** When it has to be read to be on time, or, if it is late, to be of any use; in ms. */
-  readBy: number;
+  dueAt: number;
   /** It waits although its first event will be late. */
   isLate: boolean;
   /** Rank of its route; 0 is the most urgent. */
   rank: number;
   /** Time that reading it will take, in milliseconds. */
-  expectMs(): number;
+  prefillMs(): number;
 }
 
 /** Prompts that wait for one engine. */
-export interface ReadingQueue<Item extends WaitingPrompt> {
+export interface PrefillQueue<Item extends WaitingPrompt> {
   add(item: Item): void;
   remove(item: Item): void;
   /** The next one that can be on time; it is taken out. */
@@ -28,9 +28,9 @@
   takeLate(): Item | undefined;
   count(): number;
   /** Time that those take which come before a new one, in milliseconds. */
-  aheadMs(newcomer: WaitingPrompt): number;
+  workAheadMs(newcomer: WaitingPrompt): number;
   /** Time that all those take that will be late, in milliseconds. */
-  lateMs(): number;
+  lateWorkMs(): number;
   /**
    * Whether a new prompt would make another one late that is as urgent or more so.
    *
@@ -42,7 +42,7 @@
 }
 
 /** Creates an empty queue. */
-export function createReadingQueue<Item extends WaitingPrompt>(): ReadingQueue<Item> {
+export function createPrefillQueue<Item extends WaitingPrompt>(): PrefillQueue<Item> {
   const punctual: Item[] = [];
   const late: Item[] = [];
 
@@ -61,26 +61,26 @@
     takePunctual: () => punctual.shift(),
     takeLate: () => late.shift(),
     count: () => punctual.length + late.length,
-    aheadMs(newcomer) {
+    workAheadMs(newcomer) {
       let sum = 0;
       for (const item of punctual) {
         if (isBefore(newcomer, item)) break;
-        sum += item.expectMs();
+        sum += item.prefillMs();
       }
       return sum;
     },
-    lateMs() {
+    lateWorkMs() {
       let sum = 0;
-      for (const item of late) sum += item.expectMs();
+      for (const item of late) sum += item.prefillMs();
       return sum;
     },
     wouldDelay(newcomer, startsInMs, now) {
       let endsAt = now + startsInMs;
-      const ownMs = newcomer.expectMs();
+      const ownMs = newcomer.prefillMs();
       for (const item of punctual) {
-        endsAt += item.expectMs();
+        endsAt += item.prefillMs();
         if (!isBefore(newcomer, item) || item.rank > newcomer.rank) continue;
-        if (endsAt + ownMs > item.readBy && endsAt <= item.readBy) return true;
+        if (endsAt + ownMs > item.dueAt && endsAt <= item.dueAt) return true;
       }
       return false;
     },
@@ -92,5 +92,5 @@
  * would put the longest prompts first, which hold all others up.
  */
 function isBefore(item: WaitingPrompt, other: WaitingPrompt | undefined): boolean {
-  return other !== undefined && item.readBy < other.readBy;
+  return other !== undefined && item.dueAt < other.dueAt;
 }
--- a/src/scheduling/recent-work.ts
+++ b/src/scheduling/recent-load.ts
@@ -14,15 +14,15 @@
 const LEAST_SPARE_SHARE = 0.02;
 
 /** Work of the latest time. */
-export interface RecentWork {
+export interface RecentLoad {
   /** An engine was given work, in milliseconds of its time. */
-  note(workMs: number, now: number): void;
+  record(workMs: number, now: number): void;
   /** Engines that the work of the latest time keeps busy. */
-  busy(now: number): number;
+  busyEngines(now: number): number;
 }
 
 /** Creates a record of no work. */
-export function createRecentWork(): RecentWork {
+export function createRecentLoad(): RecentLoad {
   /** Work of the latest time, each piece fading with its age. */
   let recentMs = 0;
   let at = 0;
@@ -33,11 +33,11 @@
   }
 
   return {
-    note(workMs, now) {
+    record(workMs, now) {
       fade(now);
       recentMs += workMs;
     },
-    busy(now) {
+    busyEngines(now) {
       fade(now);
       return recentMs / MEMORY_MS;
     },
@@ -50,6 +50,6 @@
  * @param busy how many of them are kept busy
  * @param engines how many there are
  */
-export function resolveSpareShare(busy: number, engines: number): number {
+export function resolveSpareCapacity(busy: number, engines: number): number {
   return Math.max(LEAST_SPARE_SHARE, 1 - busy / Math.max(1, engines));
 }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -13,25 +13,30 @@
 import type { Clock, Timer } from '../task/index.js';
 import {
   resolveAdmission,
-  resolveLateReadyMs,
-  resolveReadyMs,
-  resolveReturnMs,
+  resolveLateFirstTokenMs,
+  resolveFirstTokenMs,
+  resolveRetryAfterMs,
 } from './admission.js';
-import type { CacheLists } from './cached-parts.js';
+import type { CacheInventory } from './cached-parts.js';
 import { createCandidates } from './candidates.js';
 import type { EngineModel } from './engine-model.js';
-import { createEngineWatch } from './engine-watch.js';
-import { createEntry, type Entry } from './entry.js';
-import { createGeneratingEngines } from './generating-engines.js';
-import { createGeneratingLoad } from './generating-load.js';
+import { createEngineMonitor } from './engine-monitor.js';
+import { createTrackedJob, type TrackedJob } from './tracked-job.js';
+import { createDecodeEngines } from './decode-engines.js';
+import { createDecodeLoad } from './decode-load.js';
 import type { Decision, DeclineReason, EnginePlacement, Job } from './job.js';
-import { createKnownEngines } from './known-engines.js';
-import { createMargin } from './margin.js';
-import { createOptions, resolveTransfer } from './options.js';
-import type { Paces } from './paces.js';
-import { COMMITTED_MS, LATE_SAFETY, MARGIN_SHARE, type SchedulingMechanisms } from './policy.js';
-import type { ReadingQueue } from './reading-queue.js';
-import { createRecentWork, resolveSpareShare } from './recent-work.js';
+import { createEngineStates } from './engine-states.js';
+import { createLatencyMargin } from './latency-margin.js';
+import { createPrefillOptions, resolveTransferWork } from './prefill-options.js';
+import type { LatencyModels } from './latency-models.js';
+import {
+  MAX_COMMITTED_MS,
+  LATE_SAFETY_FACTOR,
+  MAX_MARGIN_SHARE,
+  type SchedulingMechanisms,
+} from './policy.js';
+import type { PrefillQueue } from './prefill-queue.js';
+import { createRecentLoad, resolveSpareCapacity } from './recent-load.js';
 
 /** What a scheduler needs. */
 export interface SchedulerParts {
@@ -39,12 +44,12 @@
   log: Log;
   mechanisms: SchedulingMechanisms;
   /** What is known of the service's engines. */
-  paces: Paces;
+  latencyModels: LatencyModels;
   /** Engines of the service that take requests now. */
   engines(): readonly RegisteredServer[];
   /** Tokens that the cache of one engine holds. */
   cacheTokens(): number;
-  caches: CacheLists;
+  caches: CacheInventory;
   /** Room within the limits that engines have named. */
   limits: SendLimits;
 }
@@ -56,9 +61,9 @@
   /** Counts a request that another scheduler, now lost, has placed. */
   adopt(job: Job, placement: EnginePlacement): void;
   /** The prompt of a placed request was read. */
-  promptRead(job: string): void;
+  prefillCompleted(job: string): void;
   /** The first event of a placed request has come. */
-  begun(job: string): void;
+  firstTokenReceived(job: string): void;
   /**
    * A request has ended, however; one that waits is forgotten.
    *
@@ -71,7 +76,7 @@
    * Work of generating, in engines that it would keep busy: its fading peak; `undefined`
    * while too little was seen.
    */
-  generatingLoad(): number | undefined;
+  peakDecodeLoad(): number | undefined;
   /** Requests that were submitted and have not ended. */
   size(): number;
 }
@@ -89,41 +94,46 @@
  * @param parts the engines and the terms
  */
 export function createScheduler(parts: SchedulerParts): Scheduler {
-  const { clock, log, paces, mechanisms, limits } = parts;
-  const entries = new Map<string, Entry>();
+  const { clock, log, latencyModels: paces, mechanisms, limits } = parts;
+  const entries = new Map<string, TrackedJob>();
   /** Engines that are to get the next read once they have nearly done the present one. */
   const wakeUps = new Map<string, Timer>();
-  const generators = createGeneratingEngines();
-  const watch = createEngineWatch(clock, log);
-  const margin = createMargin();
+  const generators = createDecodeEngines();
+  const watch = createEngineMonitor(clock, log);
+  const margin = createLatencyMargin();
   /** Reads of requests that can be on time. */
-  const punctualWork = createRecentWork();
-  const generatingLoad = createGeneratingLoad();
-  const candidates = createCandidates({ engines: () => parts.engines(), watch, limits, inUse });
-  const engines = createKnownEngines({
+  const punctualWork = createRecentLoad();
+  const generatingLoad = createDecodeLoad();
+  const candidates = createCandidates({
+    engines: () => parts.engines(),
+    monitor: watch,
+    limits,
+    requestCount: inUse,
+  });
+  const engines = createEngineStates({
     log,
-    paces,
+    latencyModels: paces,
     cacheTokens: () => parts.cacheTokens(),
     caches: mechanisms.cacheLists ? parts.caches : undefined,
     find: (id) => candidates.find(id),
   });
-  const options = createOptions({
+  const options = createPrefillOptions({
     clock,
-    paces,
+    latencyModels: paces,
     mechanisms,
     candidates,
     engines,
-    generators,
+    decodeEngines: generators,
     limits,
   });
 
   /** Requests that an engine was given or that wait for it. */
   function inUse(id: string): number {
-    return generators.running(id) + engines.inUse(id);
+    return generators.running(id) + engines.requestCount(id);
   }
 
   function submit(job: Job, decided: (decision: Decision) => void): void {
-    const entry = createEntry(job, clock.now(), decided);
+    const entry = createTrackedJob(job, clock.now(), decided);
     entries.set(job.id, entry);
     if (job.isRead) placeAtGenerator(entry);
     else route(entry);
@@ -136,20 +146,22 @@
     for (const { role } of parts.engines()) {
       if (role === 'prefill') reading += 1;
     }
-    return resolveSpareShare(punctualWork.busy(clock.now()), reading);
+    return resolveSpareCapacity(punctualWork.busyEngines(clock.now()), reading);
   }
 
   function marginMs(job: Job): number {
-    return mechanisms.learntMargin ? Math.min(margin.marginMs(), MARGIN_SHARE * job.aimLeftMs) : 0;
+    return mechanisms.learntMargin
+      ? Math.min(margin.marginMs(), MAX_MARGIN_SHARE * job.aimLeftMs)
+      : 0;
   }
 
   /** Finds engines for a request, or declines it. */
-  function route(entry: Entry): void {
+  function route(entry: TrackedJob): void {
     const { job } = entry;
     const generating = candidates.list(job, 'decode');
-    const restMs = options.expectRestMs(job, generating);
+    const restMs = options.estimateHandoffMs(job, generating);
     const byMs = mechanisms.deadlineOrder ? job.aimLeftMs - restMs - marginMs(job) : 0;
-    entry.readBy = entry.submittedAt + byMs;
+    entry.dueAt = entry.submittedAt + byMs;
     const choices = options.list(entry, generating, restMs);
     if (choices.length === 0) {
       declineWithoutEngine(entry);
@@ -158,34 +170,34 @@
     const spentMs = clock.now() - entry.submittedAt;
     const spare = spareShare();
     const admission = resolveAdmission(choices, {
-      aimLeftMs: job.aimLeftMs - spentMs,
+      objectiveLeftMs: job.aimLeftMs - spentMs,
       timeLeftMs: job.timeLeftMs - spentMs,
       marginMs: marginMs(job),
       mayBeLate: job.isReturn || mechanisms.lateFirstAttempts,
-      spareShare: spare,
+      spareCapacity: spare,
     });
     if (admission.kind === 'declined') {
       decline(entry, 'cannot-be-on-time', admission.retryAfterMs, admission.backlogMs);
       return;
     }
     const { option } = admission;
-    entry.predictedAt = clock.now() + resolveReadyMs(option);
+    entry.expectedFirstTokenAt = clock.now() + resolveFirstTokenMs(option);
     if (admission.kind === 'late') {
       makeLate(entry);
-      entry.predictedAt = clock.now() + resolveLateReadyMs(option, spare);
+      entry.expectedFirstTokenAt = clock.now() + resolveLateFirstTokenMs(option, spare);
     }
-    if (option.isDirect) placeDirectly(entry, option.server);
+    if (option.isLocal) placeDirectly(entry, option.server);
     else enqueue(entry, option.engine);
   }
 
-  function makeLate(entry: Entry): void {
+  function makeLate(entry: TrackedJob): void {
     entry.isLate = true;
-    entry.readBy = entry.submittedAt + entry.job.timeLeftMs;
+    entry.dueAt = entry.submittedAt + entry.job.timeLeftMs;
   }
 
-  function enqueue(entry: Entry, engine: EngineModel): void {
+  function enqueue(entry: TrackedJob, engine: EngineModel): void {
     entry.engine = engine;
-    entry.queuedMs = engine.expectReadMs('prefill', entry.job.prompt);
+    entry.prefillEstimateMs = engine.estimatePrefillMs('prefill', entry.job.prompt);
     engines.queue(engine.id).add(entry);
     if (entry.isLate) expireInTime(entry);
     advance(engine);
@@ -195,10 +207,10 @@
    * A late request is turned away once it could no longer end within its deadline, or has waited much
    * longer than it was expected to: spare time does not come then, and its caller should know.
    */
-  function expireInTime(entry: Entry): void {
-    const predictedMs = LATE_SAFETY * (entry.predictedAt - clock.now());
+  function expireInTime(entry: TrackedJob): void {
+    const predictedMs = LATE_SAFETY_FACTOR * (entry.expectedFirstTokenAt - clock.now());
     const waitMs = Math.min(latestStartMs(entry), Math.max(0, predictedMs));
-    entry.expiry = clock.after(Math.max(0, waitMs), () => {
+    entry.expiryTimer = clock.after(Math.max(0, waitMs), () => {
       if (entry.stage !== 'waiting' || !entries.has(entry.job.id)) return;
       leaveQueue(entry);
       turnAway(entry);
@@ -206,38 +218,38 @@
   }
 
   /** Time until a request has to start to be read, or it cannot end within its deadline. */
-  function latestStartMs(entry: Entry): number {
+  function latestStartMs(entry: TrackedJob): number {
     const leftMs = entry.job.timeLeftMs - (clock.now() - entry.submittedAt);
-    return leftMs - LATE_END_FACTOR * entry.expectMs() - marginMs(entry.job);
+    return leftMs - LATE_END_FACTOR * entry.prefillMs() - marginMs(entry.job);
   }
 
   /** Declines a request that waited until it could no longer end within its deadline. */
-  function turnAway(entry: Entry): void {
-    const backlogMs = entry.engine?.reads.remainingMs(clock.now()) ?? 0;
+  function turnAway(entry: TrackedJob): void {
+    const backlogMs = entry.engine?.prefills.remainingMs(clock.now()) ?? 0;
     decline(entry, 'cannot-be-on-time', NO_ENGINE_RETRY_MS, backlogMs);
   }
 
   /** Where limits leave no room, each caller is told another time, so that they don't come back together. */
-  function declineWithoutEngine(entry: Entry): void {
-    const limited = candidates.firstLimited(entry.job);
+  function declineWithoutEngine(entry: TrackedJob): void {
+    const limited = candidates.findSoonestAvailable(entry.job);
     if (limited === undefined) {
       decline(entry, 'no-engine', NO_ENGINE_RETRY_MS, 0);
       return;
     }
     const leftMs = entry.job.timeLeftMs - (clock.now() - entry.submittedAt);
     const untilRoomMs = Math.max(NO_ENGINE_RETRY_MS, limits.msUntilReturn(limited));
-    decline(entry, 'no-engine', resolveReturnMs(leftMs, untilRoomMs), 0);
+    decline(entry, 'no-engine', resolveRetryAfterMs(leftMs, untilRoomMs), 0);
   }
 
   function decline(
-    entry: Entry,
+    entry: TrackedJob,
     reason: DeclineReason,
     retryAfterMs: number,
     backlogMs: number,
   ): void {
-    entry.expiry?.cancel();
+    entry.expiryTimer?.cancel();
     entries.delete(entry.job.id);
-    entry.decided({ kind: 'declined', reason, retryAfterMs, backlogMs });
+    entry.onDecision({ kind: 'declined', reason, retryAfterMs, backlogMs });
   }
 
   /** Starts reads at an engine while it is to get some. */
@@ -246,9 +258,9 @@
     while (hasRoom(engine)) {
       const entry = queue.takePunctual() ?? takeLate(engine, queue);
       if (entry === undefined) return;
-      entry.queuedMs = engine.expectReadMs('prefill', entry.job.prompt);
+      entry.prefillEstimateMs = engine.estimatePrefillMs('prefill', entry.job.prompt);
       if (isTooLate(entry)) postpone(entry, engine);
-      else if (candidates.mayRead(engine.id, entry.job) || entry.moves >= MAX_MOVES)
+      else if (candidates.mayPrefill(engine.id, entry.job) || entry.reroutes >= MAX_MOVES)
         startRead(entry, engine);
       else leaveFor(entry);
     }
@@ -256,23 +268,23 @@
   }
 
   /** What is late starts only at an engine that has nothing to do, since reads are not interrupted. */
-  function takeLate(engine: EngineModel, queue: ReadingQueue<Entry>): Entry | undefined {
-    return engine.reads.count() === 0 ? queue.takeLate() : undefined;
+  function takeLate(engine: EngineModel, queue: PrefillQueue<TrackedJob>): TrackedJob | undefined {
+    return engine.prefills.count() === 0 ? queue.takeLate() : undefined;
   }
 
   /** Whether an engine is to get another read now. While paces are unknown, one read probes. */
   function hasRoom(engine: EngineModel): boolean {
     if (limits.msUntilRoom(engine.id) > 0) return false;
-    if (engine.reads.count() === 0) return true;
-    return paces.isKnown() && engine.reads.remainingMs(clock.now()) < COMMITTED_MS;
+    if (engine.prefills.count() === 0) return true;
+    return paces.hasSamples() && engine.prefills.remainingMs(clock.now()) < MAX_COMMITTED_MS;
   }
 
   /** Looks again once the present read has nearly ended, and the engine's limit leaves room. */
   function wakeUp(engine: EngineModel): void {
     wakeUps.get(engine.id)?.cancel();
     const untilRoomMs = limits.msUntilRoom(engine.id);
-    const untilReadMs = paces.isKnown()
-      ? engine.reads.remainingMs(clock.now()) - COMMITTED_MS
+    const untilReadMs = paces.hasSamples()
+      ? engine.prefills.remainingMs(clock.now()) - MAX_COMMITTED_MS
       : Number.NEGATIVE_INFINITY;
     const delayMs = Math.max(untilRoomMs, untilReadMs);
     if (delayMs < 0 || (delayMs === 0 && untilReadMs < 0)) return;
@@ -282,35 +294,35 @@
     wakeUps.set(engine.id, timer);
   }
 
-  function isTooLate(entry: Entry): boolean {
+  function isTooLate(entry: TrackedJob): boolean {
     if (entry.isLate) return latestStartMs(entry) < 0;
-    return clock.now() + entry.expectMs() > entry.submittedAt + entry.job.aimLeftMs;
+    return clock.now() + entry.prefillMs() > entry.submittedAt + entry.job.aimLeftMs;
   }
 
   /** What can no longer be on time makes room for what can, or is given up. */
-  function postpone(entry: Entry, engine: EngineModel): void {
+  function postpone(entry: TrackedJob, engine: EngineModel): void {
     if (entry.isLate) {
       turnAway(entry);
       return;
     }
     makeLate(entry);
     const queue = engines.queue(engine.id);
-    const aheadMs = engine.reads.remainingMs(clock.now()) + queue.lateMs();
-    entry.predictedAt = clock.now() + aheadMs / spareShare() + entry.expectMs();
+    const aheadMs = engine.prefills.remainingMs(clock.now()) + queue.lateWorkMs();
+    entry.expectedFirstTokenAt = clock.now() + aheadMs / spareShare() + entry.prefillMs();
     queue.add(entry);
     expireInTime(entry);
   }
 
   /** The engine that a request waited for takes nothing any more; another is found. */
-  function leaveFor(entry: Entry): void {
+  function leaveFor(entry: TrackedJob): void {
     entry.engine = undefined;
-    entry.moves += 1;
-    entry.expiry?.cancel();
+    entry.reroutes += 1;
+    entry.expiryTimer?.cancel();
     route(entry);
   }
 
   /** The engine that is to generate; declines the request where there is none. */
-  function chooseGenerator(entry: Entry, zone: string): RegisteredServer | undefined {
+  function chooseGenerator(entry: TrackedJob, zone: string): RegisteredServer | undefined {
     const { job } = entry;
     const fit = candidates.list(job, 'decode');
     const generator = generators.choose(fit, zone, job.rank, options.busyMs);
@@ -318,29 +330,29 @@
     return generator;
   }
 
-  function startRead(entry: Entry, engine: EngineModel): void {
+  function startRead(entry: TrackedJob, engine: EngineModel): void {
     const { job } = entry;
     const generator = chooseGenerator(entry, candidates.find(engine.id)?.zone ?? job.zone);
     if (generator === undefined) return;
     entry.stage = 'reading';
-    if (!entry.isLate) punctualWork.note(entry.expectMs(), clock.now());
-    engine.startRead(job.id, 'prefill', job.prompt, clock.now());
-    const isPaceKnown = paces.isKnown();
-    const expectedReadMs = isPaceKnown ? engine.reads.remainingMs(clock.now()) : undefined;
+    if (!entry.isLate) punctualWork.record(entry.prefillMs(), clock.now());
+    engine.startPrefill(job.id, 'prefill', job.prompt, clock.now());
+    const isPaceKnown = paces.hasSamples();
+    const expectedReadMs = isPaceKnown ? engine.prefills.remainingMs(clock.now()) : undefined;
     place(entry, { reader: engine.id, generator: generator.id, expectedReadMs });
   }
 
-  function placeDirectly(entry: Entry, server: RegisteredServer): void {
+  function placeDirectly(entry: TrackedJob, server: RegisteredServer): void {
     const engine = engines.model(server.id);
     entry.engine = engine;
     entry.stage = 'read-directly';
-    engine.startRead(entry.job.id, 'decode', entry.job.prompt, clock.now());
-    watch.expect(entry.job.id, server.id, engine.reads.remainingMs(clock.now()));
+    engine.startPrefill(entry.job.id, 'decode', entry.job.prompt, clock.now());
+    watch.expectFirstToken(entry.job.id, server.id, engine.prefills.remainingMs(clock.now()));
     place(entry, { generator: server.id });
   }
 
   /** Another engine is to generate from a prompt that was read before. */
-  function placeAtGenerator(entry: Entry): void {
+  function placeAtGenerator(entry: TrackedJob): void {
     const { job } = entry;
     const generator = chooseGenerator(entry, job.zone);
     if (generator === undefined) return;
@@ -348,23 +360,26 @@
     place(entry, { generator: generator.id });
   }
 
-  function startTransfer(entry: Entry, generator: string, isOtherZone: boolean): void {
+  function startTransfer(entry: TrackedJob, generator: string, isOtherZone: boolean): void {
     const { job } = entry;
     const engine = engines.model(generator);
     entry.engine = engine;
     entry.stage = 'transferred';
-    generatingLoad.noteTransfer(paces.transfer.expectMs(resolveTransfer(job, false)), clock.now());
-    engine.startTransfer(job.id, job.prompt, resolveTransfer(job, isOtherZone), clock.now());
-    watch.expect(job.id, generator, engine.transfers.remainingMs(clock.now()));
+    generatingLoad.observeTransfer(
+      paces.transfer.estimateMs(resolveTransferWork(job, false)),
+      clock.now(),
+    );
+    engine.startTransfer(job.id, job.prompt, resolveTransferWork(job, isOtherZone), clock.now());
+    watch.expectFirstToken(job.id, generator, engine.transfers.remainingMs(clock.now()));
   }
 
-  function place(entry: Entry, placement: EnginePlacement): void {
+  function place(entry: TrackedJob, placement: EnginePlacement): void {
     const { job } = entry;
     entry.placement = placement;
     entry.placedAt = clock.now();
     if (placement.reader !== undefined) limits.take(placement.reader);
     limits.take(placement.generator);
-    entry.expiry?.cancel();
+    entry.expiryTimer?.cancel();
     generators.start(placement.generator, job.rank, job.prompt.tokens);
     noteLoad();
     log.write('requestPlaced', {
@@ -374,10 +389,10 @@
       outputTokens: job.prompt.maxOutputTokens,
       isLate: entry.isLate,
       marginMs: Math.round(marginMs(job)),
-      predictedMs: Math.round(entry.predictedAt - entry.submittedAt),
+      predictedMs: Math.round(entry.expectedFirstTokenAt - entry.submittedAt),
       waitedMs: Math.round(clock.now() - entry.submittedAt),
     });
-    entry.decided({ kind: 'placed', placement });
+    entry.onDecision({ kind: 'placed', placement });
   }
 
   function noteLoad(): void {
@@ -385,7 +400,7 @@
     for (const engine of parts.engines()) {
       if (engine.role === 'decode') taken += generators.load(engine, parts.cacheTokens());
     }
-    generatingLoad.note(taken, clock.now());
+    generatingLoad.observe(taken, clock.now());
   }
 
   /**
@@ -393,27 +408,27 @@
    * generates. An engine that declines a prompt that was read elsewhere may be right, since the
    * reader may have dropped it; so the reader is judged as well.
    */
-  function judge({ stage, placement, placedAt }: Entry, outcome: HealthOutcome): void {
+  function judge({ stage, placement, placedAt }: TrackedJob, outcome: HealthOutcome): void {
     if (placement === undefined) return;
     const { reader, generator } = placement;
     const isReading = stage === 'reading' && reader !== undefined;
-    watch.judge(isReading ? reader : generator, outcome, placedAt);
+    watch.recordOutcome(isReading ? reader : generator, outcome, placedAt);
     const isOnReaderToo = outcome === 'good' || outcome === 'declined';
     if (isReading || reader === undefined || !isOnReaderToo) return;
-    watch.judge(reader, outcome, placedAt);
+    watch.recordOutcome(reader, outcome, placedAt);
   }
 
-  function leaveQueue(entry: Entry): void {
+  function leaveQueue(entry: TrackedJob): void {
     if (entry.engine !== undefined) engines.queue(entry.engine.id).remove(entry);
   }
 
   /** The engine that works on a request no longer does. */
-  function leaveEngine(entry: Entry, isWhole: boolean): void {
+  function leaveEngine(entry: TrackedJob, isWhole: boolean): void {
     const { engine, stage, job } = entry;
     if (engine === undefined) return;
     const now = clock.now();
     if (stage === 'waiting') leaveQueue(entry);
-    if (stage === 'reading' || stage === 'read-directly') engine.endRead(job.id, isWhole, now);
+    if (stage === 'reading' || stage === 'read-directly') engine.endPrefill(job.id, isWhole, now);
     if (stage === 'transferred') engine.endTransfer(job.id, isWhole, now);
     entry.engine = undefined;
     if (stage === 'reading') advance(engine);
@@ -423,24 +438,24 @@
     submit,
     adopt(job, placement) {
       if (entries.has(job.id)) return;
-      const entry = createEntry(job, clock.now(), () => undefined);
+      const entry = createTrackedJob(job, clock.now(), () => undefined);
       entries.set(job.id, { ...entry, stage: 'generating', placement });
       generators.start(placement.generator, job.rank, job.prompt.tokens);
     },
-    promptRead(id) {
+    prefillCompleted(id) {
       const entry = entries.get(id);
       if (entry?.placement?.reader === undefined || entry.stage !== 'reading') return;
       const { reader, generator } = entry.placement;
-      watch.heard(reader);
+      watch.recordResponse(reader);
       leaveEngine(entry, true);
       const isOtherZone = candidates.find(reader)?.zone !== candidates.find(generator)?.zone;
       startTransfer(entry, generator, isOtherZone);
     },
-    begun(id) {
-      watch.begun(id);
+    firstTokenReceived(id) {
+      watch.firstTokenReceived(id);
       const entry = entries.get(id);
       if (entry === undefined || entry.stage === 'generating') return;
-      if (!entry.isLate) margin.observe(clock.now() - entry.predictedAt);
+      if (!entry.isLate) margin.observe(clock.now() - entry.expectedFirstTokenAt);
       leaveEngine(entry, true);
       entry.stage = 'generating';
     },
@@ -448,8 +463,8 @@
       const entry = entries.get(id);
       if (entry === undefined) return;
       entries.delete(id);
-      entry.expiry?.cancel();
-      watch.ended(id);
+      entry.expiryTimer?.cancel();
+      watch.requestEnded(id);
       if (outcome !== undefined) judge(entry, outcome);
       leaveEngine(entry, false);
       if (entry.placement !== undefined)
@@ -462,7 +477,7 @@
       wakeUps.get(engine)?.cancel();
       wakeUps.delete(engine);
     },
-    generatingLoad: () => (mechanisms.demandSplit ? generatingLoad.peak(clock.now()) : undefined),
+    peakDecodeLoad: () => (mechanisms.demandSplit ? generatingLoad.peak(clock.now()) : undefined),
     size: () => entries.size,
   };
 }
--- a/src/scheduling/holder.ts
+++ b/src/scheduling/scheduling-gateway.ts
@@ -11,7 +11,10 @@
  * @param service the service
  * @param gateways those that are ready; not empty
  */
-export function resolveHolder(service: string, gateways: readonly SchedulingGateway[]): string {
+export function resolveSchedulingGateway(
+  service: string,
+  gateways: readonly SchedulingGateway[],
+): string {
   let best = '';
   let bestCores = Number.NEGATIVE_INFINITY;
   let bestDraw = '';
--- a/src/scheduling/entry.ts
+++ b/src/scheduling/tracked-job.ts
@@ -4,31 +4,31 @@
 import type { Timer } from '../task/index.js';
 import type { EngineModel } from './engine-model.js';
 import type { Decision, EnginePlacement, Job } from './job.js';
-import type { WaitingPrompt } from './reading-queue.js';
+import type { WaitingPrompt } from './prefill-queue.js';
 
 /** What a request is at. */
 export type Stage = 'waiting' | 'reading' | 'read-directly' | 'transferred' | 'generating';
 
 /** One request. */
-export interface Entry extends WaitingPrompt {
+export interface TrackedJob extends WaitingPrompt {
   job: Job;
   submittedAt: number;
   /** When its first event was predicted on admission. */
-  predictedAt: number;
-  decided: (decision: Decision) => void;
+  expectedFirstTokenAt: number;
+  onDecision: (decision: Decision) => void;
   stage: Stage;
   /** Time that reading it takes at the engine that it waits for, as of when it began to wait, in ms:
    * working it out anew for each that waits took most of a decision's time. */
-  queuedMs: number;
+  prefillEstimateMs: number;
   /** The engine that it waits for, or that works on it. */
   engine: EngineModel | undefined;
   /** Gives up on a late request that could no longer end in time. */
-  expiry: Timer | undefined;
+  expiryTimer: Timer | undefined;
   placement: EnginePlacement | undefined;
   /** When it was given to its engines. */
   placedAt: number;
   /** How often the engine that it waited for could not take it. */
-  moves: number;
+  reroutes: number;
 }
 
 /**
@@ -38,23 +38,27 @@
  * @param now the present time, in milliseconds
  * @param decided hears the decision
  */
-export function createEntry(job: Job, now: number, decided: (decision: Decision) => void): Entry {
-  const entry: Entry = {
+export function createTrackedJob(
+  job: Job,
+  now: number,
+  decided: (decision: Decision) => void,
+): TrackedJob {
+  const entry: TrackedJob = {
     job,
     submittedAt: now,
-    predictedAt: now,
-    decided,
+    expectedFirstTokenAt: now,
+    onDecision: decided,
     stage: 'waiting',
     engine: undefined,
-    expiry: undefined,
+    expiryTimer: undefined,
     placement: undefined,
     placedAt: now,
-    moves: 0,
+    reroutes: 0,
     rank: job.rank,
     isLate: false,
-    readBy: now,
-    queuedMs: 0,
-    expectMs: () => entry.queuedMs,
+    dueAt: now,
+    prefillEstimateMs: 0,
+    prefillMs: () => entry.prefillEstimateMs,
   };
   return entry;
 }
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -6,9 +6,9 @@
 import {
   allMechanisms,
   createJobSubmitter,
-  createPaces,
+  createLatencyModels,
   createScheduler,
-  resolveHolder,
+  resolveSchedulingGateway,
   type CachedPart,
   type Decision,
   type SchedulerMessage,
@@ -70,13 +70,13 @@
 /** Engines that read 300 tokens a ms, half as many while they generate, and need 30 ms from a read to
  * the first event. */
 function createKnownPaces() {
-  const paces = createPaces();
+  const paces = createLatencyModels();
   for (let index = 0; index < 100; index += 1) {
     const tokens = 1_000 * (1 + (index % 6));
     const work = { tokens, pairs: 0 };
-    paces.learnRead('prefill', work, 4 + tokens / 300);
-    paces.learnRead('decode', work, 8 + tokens / 150);
-    paces.transfer.learn(work, 30);
+    paces.observePrefill('prefill', work, 4 + tokens / 300);
+    paces.observePrefill('decode', work, 8 + tokens / 150);
+    paces.transfer.observe(work, 30);
   }
   return paces;
 }
@@ -92,7 +92,7 @@
     clock: fake.clock,
     log: createSilentLog(),
     mechanisms: { ...allMechanisms, ...mechanisms },
-    paces,
+    latencyModels: paces,
     engines: () => fleet,
     cacheTokens: () => 100_000,
     caches: { list: ({ id }) => Promise.resolve(Ok(cached[id] ?? [])) },
@@ -148,8 +148,8 @@
     for (let index = 0; index < 5; index += 1) {
       const submitted = job();
       readers.add(placementOf(submit(submitted))?.reader);
-      scheduler.promptRead(submitted.id);
-      scheduler.begun(submitted.id);
+      scheduler.prefillCompleted(submitted.id);
+      scheduler.firstTokenReceived(submitted.id);
     }
     expect([...readers]).to.deep.equal(['r1']);
   });
@@ -188,9 +188,9 @@
     submit(late);
     submit(punctual);
     expect(decisions.has(late.id)).to.equal(false);
-    scheduler.promptRead(first?.id ?? '');
-    scheduler.promptRead([...decisions.keys()].at(-1) ?? '');
-    scheduler.promptRead([...decisions.keys()].at(-1) ?? '');
+    scheduler.prefillCompleted(first?.id ?? '');
+    scheduler.prefillCompleted([...decisions.keys()].at(-1) ?? '');
+    scheduler.prefillCompleted([...decisions.keys()].at(-1) ?? '');
     expect(decisions.has(punctual.id)).to.equal(true);
     expect(decisions.has(late.id)).to.equal(false);
   });
@@ -213,7 +213,7 @@
     const pressing = job({ aimLeftMs: 300 }, 'pressing');
     submit(patient);
     submit(pressing);
-    scheduler.promptRead(running[0]?.id ?? '');
+    scheduler.prefillCompleted(running[0]?.id ?? '');
     expect(decisions.has(pressing.id)).to.equal(true);
     expect(decisions.has(patient.id)).to.equal(false);
   });
@@ -262,8 +262,8 @@
       const punctual = job({}, `on-time-${index}`);
       submit(punctual);
       await advance(20);
-      scheduler.promptRead(punctual.id);
-      scheduler.begun(punctual.id);
+      scheduler.prefillCompleted(punctual.id);
+      scheduler.firstTokenReceived(punctual.id);
       scheduler.finished(punctual.id, 'good');
     }
     submit(job({}, 'running'));
@@ -279,30 +279,30 @@
       const delayed = job({ aimLeftMs: 2_000 }, `delayed-${index}`);
       submit(delayed);
       await advance(24);
-      scheduler.promptRead(delayed.id);
+      scheduler.prefillCompleted(delayed.id);
       await advance(index % 2 === 0 ? 0 : 300);
-      scheduler.begun(delayed.id);
+      scheduler.firstTokenReceived(delayed.id);
       scheduler.finished(delayed.id, 'good');
     }
     expect(submit(job({ aimLeftMs: 300 }, 'next'))).to.include({ kind: 'placed' });
   });
 
   it('gives each engine one read while nothing is known of their pace', () => {
-    const { submit, scheduler, decisions } = setUp(engines, {}, createPaces());
+    const { submit, scheduler, decisions } = setUp(engines, {}, createLatencyModels());
     const jobs = ['a', 'b', 'c'].map((part) => job({}, part));
     const readers = jobs.map((submitted) => placementOf(submit(submitted))?.reader);
     expect(readers).to.deep.equal(['r1', 'r2', undefined]);
-    scheduler.promptRead(jobs[0]?.id ?? '');
+    scheduler.prefillCompleted(jobs[0]?.id ?? '');
     expect(placementOf(decisions.get(jobs[2]?.id ?? ''))?.reader).to.equal('r1');
   });
 
   it('learns from single reads how long the next ones take', async () => {
-    const { submit, scheduler, advance } = setUp(ONE_READER, ON_TIME_ONLY, createPaces());
+    const { submit, scheduler, advance } = setUp(ONE_READER, ON_TIME_ONLY, createLatencyModels());
     const first = job({ aimLeftMs: 600 }, 'a');
     submit(first);
     await advance(100);
-    scheduler.promptRead(first.id);
-    scheduler.begun(first.id);
+    scheduler.prefillCompleted(first.id);
+    scheduler.firstTokenReceived(first.id);
     const outcomes = [1, 2, 3, 4, 5, 6].map(
       (index) => submit(job({ aimLeftMs: 350 }, `next-${index}`))?.kind,
     );
@@ -316,7 +316,7 @@
     for (let index = 0; index < 4; index += 1) {
       const submitted = job({}, 'x');
       readers.add(placementOf(submit(submitted))?.reader);
-      scheduler.promptRead(submitted.id);
+      scheduler.prefillCompleted(submitted.id);
     }
     expect(readers).not.to.include(reader);
   });
@@ -418,9 +418,9 @@
 describe('the choice of the scheduling gateway', () => {
   it('is the same in every order of the gateways, and goes to the strongest', () => {
     const gateways = ['a', 'b', 'c'].map((node) => ({ node, cores: 1 }));
-    const chosen = resolveHolder('chat', gateways);
-    expect(resolveHolder('chat', [...gateways].reverse())).to.equal(chosen);
-    expect(resolveHolder('chat', [...gateways, { node: 'd', cores: 2 }])).to.equal('d');
+    const chosen = resolveSchedulingGateway('chat', gateways);
+    expect(resolveSchedulingGateway('chat', [...gateways].reverse())).to.equal(chosen);
+    expect(resolveSchedulingGateway('chat', [...gateways, { node: 'd', cores: 2 }])).to.equal('d');
   });
 });
 
@@ -435,12 +435,12 @@
         decided({ kind: 'placed', placement: { generator: 'g1' } });
       },
       adopt: (adopted) => local.push(`adopted ${adopted.id}`),
-      promptRead: () => undefined,
-      begun: () => undefined,
+      prefillCompleted: () => undefined,
+      firstTokenReceived: () => undefined,
       finished: () => undefined,
       forget: () => undefined,
       size: () => 0,
-      generatingLoad: () => undefined,
+      peakDecodeLoad: () => undefined,
     };
     const submitter = createJobSubmitter({
       clock: fake.clock,
@@ -472,14 +472,14 @@
     const { submitter, sent, advance } = setUpSubmitter();
     submitter.submit(job(), () => undefined);
     const placed = sent[0]?.kind === 'job.submit' ? sent[0].job.id : '';
-    submitter.answered('peer', {
+    submitter.answerReceived('peer', {
       kind: 'job.placed',
       id: placed,
       placement: { generator: 'g1' },
     });
     submitter.submit(job(), () => undefined);
     const waiting = sent[1]?.kind === 'job.submit' ? sent[1].job.id : '';
-    submitter.answered('peer', { kind: 'job.queued', id: waiting });
+    submitter.answerReceived('peer', { kind: 'job.queued', id: waiting });
     submitter.submit(job(), () => undefined);
     sent.splice(0);
     await advance(41);
@@ -491,10 +491,10 @@
     const { submitter, sent, local, advance } = setUpSubmitter();
     submitter.submit(job(), () => undefined);
     const submitted = sent[0]?.kind === 'job.submit' ? sent[0].job.id : '';
-    submitter.answered('peer', { kind: 'job.queued', id: submitted });
+    submitter.answerReceived('peer', { kind: 'job.queued', id: submitted });
     await advance(500);
     expect(local).to.have.length(0);
-    submitter.lost('peer');
+    submitter.peerLost('peer');
     expect(sent.filter(({ kind }) => kind === 'job.submit')).to.have.length(2);
   });
 
--- a/tools/replay/emulated-engine.ts
+++ b/tools/replay/emulated-engine.ts
@@ -72,13 +72,13 @@
 
   /** Time to read what is not cached, at full speed. */
   function resolveReadMs(prompt: Prompt): number {
-    const unread = cache.unreadTokens(prompt);
+    const unread = cache.uncachedTokens(prompt);
     const pairs = (unread * (prompt.tokens - unread / 2)) / 1_000_000;
     return fleet.firstMs + unread / fleet.tokensPerMs + pairs * fleet.pairsMsPerMillion;
   }
 
   function keep(prompt: Prompt): void {
-    cache.use(prompt);
+    cache.recordUse(prompt);
     for (const { id: part, tokens } of prompt.parts) {
       held.set(part, { model: prompt.model, id: part, tokens });
     }
--- a/tools/replay/main.ts
+++ b/tools/replay/main.ts
@@ -5,7 +5,7 @@
 import { readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { defineCommand, runMain } from 'citty';
-import { parseWithout, type SchedulingMechanisms } from '../../src/scheduling/index.js';
+import { parseDisabledMechanisms, type SchedulingMechanisms } from '../../src/scheduling/index.js';
 import { readPattern, type Pattern } from './pattern.js';
 import { play, type Tally } from './replay.js';
 
@@ -73,7 +73,7 @@
     without: { type: 'string', default: '', description: 'Mechanisms that are off' },
   },
   async run({ args }) {
-    const mechanisms = parseWithout(args.without);
+    const mechanisms = parseDisabledMechanisms(args.without);
     if (mechanisms.isErr()) fail(`--without: ${mechanisms.error}`);
     const seeds = Number(args.seeds);
     if (!Number.isInteger(seeds) || seeds < 1) fail('--seeds: a whole number from 1 on');
--- a/tools/replay/replay.ts
+++ b/tools/replay/replay.ts
@@ -8,11 +8,11 @@
 import { createSilentLog } from '../../src/events/index.js';
 import type { RegisteredServer } from '../../src/fleet/index.js';
 import {
-  createPaces,
+  createLatencyModels,
   createScheduler,
   type Decision,
   type Job,
-  type Paces,
+  type LatencyModels,
   type Scheduler,
   type SchedulingMechanisms,
 } from '../../src/scheduling/index.js';
@@ -69,7 +69,7 @@
   const arrivals = new Map<string, number[]>();
   /** Limits that engines name, in requests a second. */
   const limitsPerS = new Map<string, number>();
-  let paces: Paces = createPaces();
+  let paces: LatencyModels = createLatencyModels();
   let scheduler: Scheduler = startScheduler();
 
   function noteArrival(engine: string): void {
@@ -100,7 +100,7 @@
       clock: time,
       log: createSilentLog(),
       mechanisms,
-      paces,
+      latencyModels: paces,
       engines: listServers,
       cacheTokens: () => fleet.cacheTokens,
       caches: { list: ({ id }) => Promise.resolve(Ok(engines.get(id)?.cached() ?? [])) },
@@ -170,7 +170,7 @@
     engines.get(reader)?.read(arrival.prompt, () => {
       time.after(WAY_MS, () => {
         noteArrival(generator);
-        scheduler.promptRead(job);
+        scheduler.prefillCompleted(job);
         generating.fetch(arrival.prompt, watch);
       });
     });
@@ -186,7 +186,7 @@
     return {
       begun() {
         firstAt = time.now() + WAY_MS;
-        scheduler.begun(job);
+        scheduler.firstTokenReceived(job);
       },
       ended(longestPauseMs: number) {
         scheduler.finished(job, 'good');
@@ -219,7 +219,7 @@
   }
 
   function loseScheduler(): void {
-    paces = createPaces();
+    paces = createLatencyModels();
     scheduler = startScheduler();
   }
 
