--- a/src/scheduling/admission.ts
+++ b/src/scheduling/admission.ts
@@ -1,158 +1,148 @@
 /**
- * Whether a request is taken, and where its prompt is read: decisions on numbers alone.
- *
- * Answers: more prompts than can be read, for seconds at a time. What can be on time goes where it
- * costs the fleet least; what cannot waits for spare time if that is likely to come; the rest is
- * turned away at once and told when there will be room.
+ * Admission control: decides whether a request is admitted and which engine prefills its prompt.
+ * A request that can meet its latency objective goes to the cheapest engine. One that cannot is
+ * queued for spare capacity if that is likely to become available before its deadline, and is
+ * otherwise shed at once with a Retry-After.
  */
 import { ENGINE_TIME_WEIGHT, LATE_SAFETY_FACTOR, MAX_ENGINE_TIME_WEIGHT } from './policy.js';
 
-/** What reading a prompt at one engine would mean; times in milliseconds. */
+/** Estimates for prefilling a prompt at one engine; times in milliseconds. */
 export interface PrefillEstimate {
-  /** Until the engine starts on it. */
+  /** Queueing delay until the engine starts the prefill. */
   queueDelayMs: number;
   prefillMs: number;
-  /** Time of an engine that the choice goes by. */
+  /** The prefill time as it counts in the engine's cost; 0 when cache affinity is off. */
   scoredPrefillMs: number;
-  /** From the end of the read to the first event. */
+  /** From the end of the prefill to the first event. */
   handoffMs: number;
-  /** What the place costs besides, as time. */
+  /** Other costs of the engine, as time. */
   penaltyMs: number;
-  /** Another request that is as urgent would become late. */
+  /** A waiting request of the same or a more urgent rank would miss its objective. */
   delaysOthers: boolean;
-  /** Work that waits there although it will be late. */
+  /** Work queued at the engine for requests that will miss their objective. */
   lateBacklogMs: number;
 }
 
-/** What is decided on a request. */
+/** The decision on a request. */
 export type Admission<Option extends PrefillEstimate> =
   | { kind: 'punctual'; option: Option }
   | { kind: 'late'; option: Option }
   | { kind: 'declined'; retryAfterMs: number; backlogMs: number };
 
-/** What is known of the request. */
+/** The request's side of the decision. */
 export interface AdmissionTerms {
+  /** Time until the latency objective, in milliseconds. */
   objectiveLeftMs: number;
+  /** Time until the deadline, in milliseconds. */
   timeLeftMs: number;
-  /** Time by which predictions are usually exceeded, in milliseconds. */
+  /** Margin added to latency estimates, in milliseconds. */
   marginMs: number;
   mayBeLate: boolean;
-  /** Part of the engines' time that is left beside what is on time. */
+  /** Share of the engines' time that requests within their objective leave. */
   spareCapacity: number;
 }
 
-/** Shortest time after which a refused caller is told to come back, in ms: several ways there and
- * back, within which one read has ended. */
+/** Minimum Retry-After, in ms. */
 const MIN_RETRY_AFTER_MS = 50;
-/** Longest part of the time left after which callers come back as told. */
-const MAX_WAIT_SHARE = 1 / 3;
+/** Maximum Retry-After, as a share of the time left until the deadline. */
+const MAX_RETRY_AFTER_SHARE = 1 / 3;
 
 /**
  * Decides on a request.
  *
- * @param options where its prompt could be read; not empty
- * @param demand what is known of it
+ * @param options engines that could prefill its prompt; not empty
+ * @param terms the request's objective, deadline and margin
  */
 export function resolveAdmission<Option extends PrefillEstimate>(
   options: readonly Option[],
-  demand: AdmissionTerms,
+  terms: AdmissionTerms,
 ): Admission<Option> {
-  const best = findBest(options, (option) => scoreOf(option, demand));
-  if (best !== undefined && isPunctual(best, demand)) return { kind: 'punctual', option: best };
-  const ofUse = demand.mayBeLate ? options.filter((option) => isOfUse(option, demand)) : [];
-  const late = findBest(ofUse, (option) => scoreOf(option, demand) + option.lateBacklogMs);
+  const best = findCheapest(options, (option) => costOf(option, terms));
+  if (best !== undefined && meetsObjective(best, terms)) return { kind: 'punctual', option: best };
+  const eligible = terms.mayBeLate ? options.filter((option) => meetsDeadline(option, terms)) : [];
+  const late = findCheapest(eligible, (option) => costOf(option, terms) + option.lateBacklogMs);
   if (late !== undefined) return { kind: 'late', option: late };
-  return resolveDecline(options, demand);
+  return resolveDecline(options, terms);
 }
 
 /**
- * Time after which a caller is told to come back: while it can still be served.
+ * Retry-After for a caller: early enough that a retry can still be served before the deadline.
  *
- * @param timeLeftMs time until the answer is of no use, in milliseconds
- * @param waitMs time until there will be room, in milliseconds
+ * @param timeLeftMs time until the deadline, in milliseconds
+ * @param waitMs time until there will be capacity, in milliseconds
  */
 export function resolveRetryAfterMs(timeLeftMs: number, waitMs: number): number {
-  return Math.min(timeLeftMs * MAX_WAIT_SHARE, waitMs);
+  return Math.min(timeLeftMs * MAX_RETRY_AFTER_SHARE, waitMs);
 }
 
-/** Time until the first event. */
+/** Estimated time to the first token, in milliseconds. */
 export function resolveFirstTokenMs({
-  queueDelayMs: waitMs,
-  prefillMs: readMs,
-  handoffMs: restMs,
+  queueDelayMs,
+  prefillMs,
+  handoffMs,
 }: PrefillEstimate): number {
-  return waitMs + readMs + restMs;
+  return queueDelayMs + prefillMs + handoffMs;
 }
 
-function isPunctual(
+function meetsObjective(
   option: PrefillEstimate,
-  { objectiveLeftMs: aimLeftMs, marginMs }: AdmissionTerms,
+  { objectiveLeftMs, marginMs }: AdmissionTerms,
 ): boolean {
-  return !option.delaysOthers && resolveFirstTokenMs(option) + marginMs <= aimLeftMs;
+  return !option.delaysOthers && resolveFirstTokenMs(option) + marginMs <= objectiveLeftMs;
 }
 
-function isOfUse(option: PrefillEstimate, demand: AdmissionTerms): boolean {
-  const expectedMs = resolveLateFirstTokenMs(option, demand.spareCapacity);
-  return LATE_SAFETY_FACTOR * expectedMs + demand.marginMs <= demand.timeLeftMs;
+function meetsDeadline(option: PrefillEstimate, terms: AdmissionTerms): boolean {
+  const expectedMs = resolveLateFirstTokenMs(option, terms.spareCapacity);
+  return LATE_SAFETY_FACTOR * expectedMs + terms.marginMs <= terms.timeLeftMs;
 }
 
-/** Time until the first event of a request that is read in spare time. */
-export function resolveLateFirstTokenMs(option: PrefillEstimate, spareShare: number): number {
-  const {
-    queueDelayMs: waitMs,
-    lateBacklogMs: lateMs,
-    prefillMs: readMs,
-    handoffMs: restMs,
-  } = option;
-  return (waitMs + lateMs) / spareShare + readMs + restMs;
+/** Estimated time to the first token of a request that uses spare capacity, in milliseconds. */
+export function resolveLateFirstTokenMs(option: PrefillEstimate, spareCapacity: number): number {
+  const { queueDelayMs, lateBacklogMs, prefillMs, handoffMs } = option;
+  return (queueDelayMs + lateBacklogMs) / spareCapacity + prefillMs + handoffMs;
 }
 
 /**
- * What a place costs: the time until the first event, and the engine's time, which is dearer the less
- * of it is left. A request takes the cheapest place or none: going on to the next one in overload,
- * where all parts have to be read again, takes the time of two other requests for one.
+ * Cost of an engine: the time to the first token plus the engine time used, weighted higher the less
+ * spare capacity there is. Only the cheapest engine is considered: in overload, moving a prompt to an
+ * engine without its cached parts would cost capacity for other requests.
  */
-function scoreOf(option: PrefillEstimate, { spareCapacity: spareShare }: AdmissionTerms): number {
-  const weight = Math.min(MAX_ENGINE_TIME_WEIGHT, ENGINE_TIME_WEIGHT / spareShare);
-  const {
-    queueDelayMs: waitMs,
-    scoredPrefillMs: weighedReadMs,
-    handoffMs: restMs,
-    penaltyMs: surchargeMs,
-  } = option;
-  return waitMs + restMs + (1 + weight) * weighedReadMs + surchargeMs;
+function costOf(option: PrefillEstimate, { spareCapacity }: AdmissionTerms): number {
+  const weight = Math.min(MAX_ENGINE_TIME_WEIGHT, ENGINE_TIME_WEIGHT / spareCapacity);
+  const { queueDelayMs, scoredPrefillMs, handoffMs, penaltyMs } = option;
+  return queueDelayMs + handoffMs + (1 + weight) * scoredPrefillMs + penaltyMs;
 }
 
-function findBest<Option>(
+function findCheapest<Option>(
   options: readonly Option[],
-  score: (option: Option) => number,
+  costOfOption: (option: Option) => number,
 ): Option | undefined {
-  let best: Option | undefined;
-  let bestScore = Number.POSITIVE_INFINITY;
+  let cheapest: Option | undefined;
+  let lowestCost = Number.POSITIVE_INFINITY;
   for (const option of options) {
-    const found = score(option);
-    if (found >= bestScore) continue;
-    best = option;
-    bestScore = found;
+    const cost = costOfOption(option);
+    if (cost >= lowestCost) continue;
+    cheapest = option;
+    lowestCost = cost;
   }
-  return best;
+  return cheapest;
 }
 
-/** The caller comes back when the shortest queue has drained as far as it has to. */
+/** Declines with a Retry-After at which the shortest queue has drained enough to meet the objective. */
 function resolveDecline(
   options: readonly PrefillEstimate[],
-  { objectiveLeftMs: aimLeftMs, timeLeftMs, marginMs, spareCapacity: spareShare }: AdmissionTerms,
+  { objectiveLeftMs, timeLeftMs, marginMs, spareCapacity }: AdmissionTerms,
 ): Admission<never> {
   let backlogMs = Number.POSITIVE_INFINITY;
-  let surplusMs = Number.POSITIVE_INFINITY;
+  let excessMs = Number.POSITIVE_INFINITY;
   for (const option of options) {
     backlogMs = Math.min(backlogMs, option.queueDelayMs);
-    surplusMs = Math.min(surplusMs, resolveFirstTokenMs(option) + marginMs - aimLeftMs);
+    excessMs = Math.min(excessMs, resolveFirstTokenMs(option) + marginMs - objectiveLeftMs);
   }
-  const drainedMs = Math.max(MIN_RETRY_AFTER_MS, surplusMs / spareShare);
+  const drainMs = Math.max(MIN_RETRY_AFTER_MS, excessMs / spareCapacity);
   return {
     kind: 'declined',
-    retryAfterMs: resolveRetryAfterMs(timeLeftMs, drainedMs),
+    retryAfterMs: resolveRetryAfterMs(timeLeftMs, drainMs),
     backlogMs,
   };
 }
--- a/src/scheduling/cache-model.ts
+++ b/src/scheduling/cache-model.ts
@@ -1,46 +1,46 @@
 /**
- * What an engine's KV cache probably holds, followed from the prompts that were sent to it. The
- * engine evicts what was used least recently; so does the model.
+ * Model of an engine's KV cache, derived from the prompts that were sent to it. Like the engine, it
+ * evicts the least recently used parts.
  */
 import type { CachedPart } from './cached-parts.js';
 import type { Prompt } from './prompt.js';
 
-/** Share of the cache that parts may fill; running requests need the rest. */
-const FILLED_SHARE = 0.9;
+/** Share of the cache that is available for prompt parts; running requests use the rest. */
+const USABLE_SHARE = 0.9;
 
-/** The cache of one engine, as a model. */
+/** Model of one engine's cache. */
 export interface CacheModel {
-  /** Tokens of a prompt that the engine would have to read. */
+  /** Tokens of a prompt that the engine would have to prefill. */
   uncachedTokens(prompt: Prompt): number;
-  /** A prompt was sent to the engine: its parts are now the most recently used. */
+  /** Marks the parts of a prompt that was sent to the engine as most recently used. */
   recordUse(prompt: Prompt): void;
-  /** Takes in what the engine says that it keeps, as used before everything that is known. */
+  /** Adds parts that the engine reported, as less recently used than all parts known so far. */
   addReported(parts: readonly CachedPart[]): void;
 }
 
 /**
  * Creates an empty cache.
  *
- * @param capacityTokens tokens that the engine's cache holds
+ * @param capacityTokens capacity of the engine's cache in tokens
  */
 export function createCacheModel(capacityTokens: number): CacheModel {
-  // a map keeps the order of insertion, so the first part is the least recently used
-  let held = new Map<string, number>();
-  const capacity = capacityTokens * FILLED_SHARE;
-  let heldTokens = 0;
+  // a map keeps insertion order, so the first entry is the least recently used
+  let tokensByKey = new Map<string, number>();
+  const usableTokens = capacityTokens * USABLE_SHARE;
+  let totalTokens = 0;
 
   function touch(key: string, tokens: number): void {
-    const known = held.get(key);
-    if (known === undefined) heldTokens += tokens;
-    else held.delete(key);
-    held.set(key, tokens);
+    const known = tokensByKey.get(key);
+    if (known === undefined) totalTokens += tokens;
+    else tokensByKey.delete(key);
+    tokensByKey.set(key, tokens);
   }
 
   function evict(): void {
-    for (const [key, tokens] of held) {
-      if (heldTokens <= capacity) return;
-      held.delete(key);
-      heldTokens -= tokens;
+    for (const [key, tokens] of tokensByKey) {
+      if (totalTokens <= usableTokens) return;
+      tokensByKey.delete(key);
+      totalTokens -= tokens;
     }
   }
 
@@ -48,7 +48,7 @@
     uncachedTokens(prompt) {
       let cached = 0;
       for (const part of prompt.parts) {
-        if (!held.has(keyOf(prompt.model, part.id))) break;
+        if (!tokensByKey.has(keyOf(prompt.model, part.id))) break;
         cached += part.tokens;
       }
       return Math.max(0, prompt.tokens - cached);
@@ -60,9 +60,9 @@
       evict();
     },
     addReported(parts) {
-      const newer = held;
-      held = new Map();
-      heldTokens = 0;
+      const newer = tokensByKey;
+      tokensByKey = new Map();
+      totalTokens = 0;
       for (const { model, id, tokens } of parts) {
         touch(keyOf(model, id), tokens);
       }
--- a/src/scheduling/cached-parts.ts
+++ b/src/scheduling/cached-parts.ts
@@ -1,19 +1,19 @@
 /**
- * The port to what engines say of their caches.
+ * Port for listing what engines have cached.
  */
 import type { Result } from 'ts-results-es';
 import type { RegisteredServer } from '../fleet/index.js';
 
-/** A part of a prompt that an engine keeps. */
+/** A prompt part in an engine's cache. */
 export interface CachedPart {
   model: string;
-  /** The same as in the prompts that have this part. */
+  /** The id of the part in prompts that contain it. */
   id: string;
   tokens: number;
 }
 
-/** Asks engines for what they keep. */
+/** Lists the contents of engines' caches. */
 export interface CacheInventory {
-  /** Everything that an engine keeps; asking for it delays the engine a little. */
+  /** Lists all cached parts of an engine; the call delays the engine slightly. */
   list(server: RegisteredServer): Promise<Result<readonly CachedPart[], string>>;
 }
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -1,71 +1,71 @@
 /**
- * Which engines may be given a request: the one rule for it. With another one elsewhere, a request goes
- * to and fro between the two. Where nothing seems sound, the judgement is more likely wrong than all
- * engines are.
+ * Selects the engines that may be given a request. All placement decisions use this one rule, since
+ * two different rules could pass a request back and forth. If no engine is healthy, all eligible
+ * ones are used.
  */
 import type { SendLimits } from '../backpressure/index.js';
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
 import type { EngineMonitor } from './engine-monitor.js';
 import type { Job } from './job.js';
 
-/** What the rule goes by. */
+/** Dependencies of the selection. */
 export interface CandidatesParts {
-  /** Engines of the service that take requests now. */
+  /** Engines of the service that accept requests now. */
   engines(): readonly RegisteredServer[];
   monitor: EngineMonitor;
   limits: SendLimits;
-  /** Requests that an engine was given or that wait for it. */
+  /** Requests that run on an engine or wait for it. */
   requestCount(id: string): number;
 }
 
 /** Engines that may be given a request. */
 export interface Candidates {
   list(job: Job, role: EngineRole): RegisteredServer[];
-  /** Whether an engine may read a request's prompt. */
+  /** Whether an engine may prefill a request's prompt. */
   mayPrefill(id: string, job: Job): boolean;
-  /** An engine of the service by its id. */
+  /** Finds an engine of the service by its id. */
   find(id: string): RegisteredServer | undefined;
-  /** The engine that generates whose limit leaves room first, of those that leave none now. */
+  /** Finds the rate-limited decode engine that will accept a request soonest. */
   findSoonestAvailable(job: Job): string | undefined;
 }
 
 /**
- * Creates the rule.
+ * Creates the selection.
  *
- * @param parts the engines and how they fare
+ * @param parts the engines with their health and limits
  */
 export function createCandidates(parts: CandidatesParts): Candidates {
-  const { monitor: watch, limits } = parts;
+  const { monitor, limits } = parts;
 
-  /** Engines of a role that seem sound, for all and for the gateway that asks. */
-  function listSound(job: Job, role: EngineRole): RegisteredServer[] {
-    const sound: RegisteredServer[] = [];
-    for (const engine of listFit(job, role)) {
+  /** Eligible engines that are healthy and that the requesting gateway does not avoid. */
+  function listHealthy(job: Job, role: EngineRole): RegisteredServer[] {
+    const healthy: RegisteredServer[] = [];
+    for (const engine of listEligible(job, role)) {
       if (job.avoided.includes(engine.id)) continue;
-      if (watch.isAvailable(engine.id, parts.requestCount(engine.id))) sound.push(engine);
+      if (monitor.isAvailable(engine.id, parts.requestCount(engine.id))) healthy.push(engine);
     }
-    return sound;
+    return healthy;
   }
 
-  /** Engines of a role that this request was not sent to in vain. */
-  function listFit(job: Job, role: EngineRole): RegisteredServer[] {
-    const fit: RegisteredServer[] = [];
+  /** Engines of a role that have not failed this request. */
+  function listEligible(job: Job, role: EngineRole): RegisteredServer[] {
+    const eligible: RegisteredServer[] = [];
     for (const engine of parts.engines()) {
       if (engine.role !== role || job.excluded.includes(engine.id)) continue;
-      // prompts can wait for an engine that reads; what was read has to go on at once
-      if (role === 'prefill' || hasRoom(engine.id, job)) fit.push(engine);
+      // requests can wait for a prefill engine; decoding has to follow the prefill at once
+      if (role === 'prefill' || hasRoom(engine.id, job)) eligible.push(engine);
     }
-    return fit;
+    return eligible;
   }
 
-  /** Whether a limit leaves room; the last of it is left to the most urgent. */
+  /** Whether an engine's rate limit leaves room; the last slot is reserved for rank 0. */
   function hasRoom(id: string, job: Job): boolean {
     return limits.msUntilRoom(id, job.rank === 0 ? 0 : 1) === 0;
   }
 
   function list(job: Job, role: EngineRole): RegisteredServer[] {
-    const sound = listSound(job, role);
-    return sound.length > 0 ? sound : listFit(job, role);
+    const healthy = listHealthy(job, role);
+    return healthy.length > 0 ? healthy : listEligible(job, role);
   }
 
   return {
@@ -77,16 +77,16 @@
       return false;
     },
     findSoonestAvailable(job) {
-      let first: string | undefined;
+      let soonest: string | undefined;
       let leastMs = Number.POSITIVE_INFINITY;
       for (const { id, role } of parts.engines()) {
         if (role !== 'decode' || job.excluded.includes(id)) continue;
         const untilRoomMs = limits.msUntilRoom(id);
         if (!limits.isLimited(id) || untilRoomMs >= leastMs) continue;
-        first = id;
+        soonest = id;
         leastMs = untilRoomMs;
       }
-      return first;
+      return soonest;
     },
     find(id) {
       for (const engine of parts.engines()) {
--- a/src/scheduling/decode-engines.ts
+++ b/src/scheduling/decode-engines.ts
@@ -1,35 +1,30 @@
 /**
- * The engines that generate, as their scheduler follows them: how much runs on each. Generation is
- * spread over the least busy; of equals, one in the zone of the engine that read the prompt, since
- * KV caches cross zones slowly.
+ * Load of the decode engines and the choice among them: the least loaded one, preferably in the
+ * availability zone that holds the prompt, since cross-zone KV cache transfers are slow.
  */
 import type { RegisteredServer } from '../fleet/index.js';
 import { OTHER_ZONE_PENALTY_MS } from './policy.js';
 
-/** How many requests a generating engine is given, as a share of its slots: a few wait at the engine
- * itself, most urgent first, so that a slot never stands empty. Less urgent ones do not count, since
- * the engine admits a request before them. */
-const FILLED_SHARE = 1.5;
-/** How many requests of any rank it is given, as a share of its slots: engines queue a few times their
- * slots and decline what is beyond. */
-const HELD_SHARE = 3;
+/** Maximum requests of the same or a more urgent rank at an engine, as a multiple of its slots. Engines
+ * admit by rank, so less urgent requests do not count. */
+const MAX_FILL_OF_RANK = 1.5;
+/** Maximum requests of all ranks at an engine, as a multiple of its slots; engines decline more. */
+const MAX_FILL = 3;
 
-/** How much longer a KV cache takes to another availability zone, in terms of running requests:
- * a nearer engine is preferred unless it runs so many more. */
-const ZONE_PREFERENCE = 2;
-/** What a millisecond weighs that an engine is taken by reads and transfers, in running requests: as
- * the two weigh against another availability zone. */
-const BUSY_WEIGHT = ZONE_PREFERENCE / OTHER_ZONE_PENALTY_MS;
+/** Penalty of an engine in another availability zone, in running requests. */
+const OTHER_ZONE_PENALTY = 2;
+/** Weight of a millisecond of pending prefills and transfers, in running requests. */
+const BUSY_WEIGHT = OTHER_ZONE_PENALTY / OTHER_ZONE_PENALTY_MS;
 
-/** Follows the engines that generate. */
+/** Requests on the decode engines. */
 export interface DecodeEngines {
   /**
    * Chooses an engine.
    *
-   * @param engines those that may be chosen
-   * @param zone where the prompt is, or where the caller's gateway is
+   * @param engines the candidates
+   * @param zone zone of the prompt's KV cache, or of the caller's gateway
    * @param rank rank of the request's route
-   * @param busyMs time for which an engine is taken by reads and transfers, in milliseconds
+   * @param busyMs time until an engine has finished its prefills and transfers, in milliseconds
    */
   choose(
     engines: readonly RegisteredServer[],
@@ -37,34 +32,33 @@
     rank: number,
     busyMs: (id: string) => number,
   ): RegisteredServer | undefined;
-  /** Whether an engine is to get no more requests of a rank. */
+  /** Whether an engine is at its limit for requests of a rank. */
   isFull(engine: RegisteredServer, rank: number): boolean;
   /** Requests that an engine was given and that have not ended. */
   running(id: string): number;
   /**
-   * How much of an engine is taken: of its slots, or of its memory if that is more.
+   * Utilization of an engine's slots or of its cache, whichever is higher; 1 is full.
    *
-   * @param cacheTokens tokens that its memory holds; prompts count whole, shared parts as often as
-   * they occur
+   * @param cacheTokens capacity of its cache; shared prompt parts count once per request
    */
   load(engine: RegisteredServer, cacheTokens: number): number;
   start(id: string, rank: number, tokens: number): void;
   end(id: string, rank: number, tokens: number): void;
 }
 
-/** Creates a count of nothing. */
+/** Creates a record without requests. */
 export function createDecodeEngines(): DecodeEngines {
-  /** Requests at each engine, by rank. */
+  /** Requests by engine and rank. */
   const counts = new Map<string, Map<number, number>>();
-  /** Prompt tokens at each engine. */
-  const held = new Map<string, number>();
+  /** Prompt tokens by engine. */
+  const promptTokens = new Map<string, number>();
 
   function running(id: string, upToRank = Number.POSITIVE_INFINITY): number {
-    let found = 0;
+    let sum = 0;
     for (const [rank, count] of counts.get(id) ?? []) {
-      if (rank <= upToRank) found += count;
+      if (rank <= upToRank) sum += count;
     }
-    return found;
+    return sum;
   }
 
   function change(id: string, rank: number, by: number): void {
@@ -77,7 +71,7 @@
   }
 
   function isFull({ id, slots }: RegisteredServer, rank: number): boolean {
-    return running(id, rank) >= slots * FILLED_SHARE || running(id) >= slots * HELD_SHARE;
+    return running(id, rank) >= slots * MAX_FILL_OF_RANK || running(id) >= slots * MAX_FILL;
   }
 
   return {
@@ -86,8 +80,8 @@
       let best: RegisteredServer | undefined;
       let bestLoad = Number.POSITIVE_INFINITY;
       for (const engine of engines) {
-        const distance = engine.zone === zone ? 0 : ZONE_PREFERENCE;
-        const load = running(engine.id) + distance + BUSY_WEIGHT * busyMs(engine.id);
+        const zonePenalty = engine.zone === zone ? 0 : OTHER_ZONE_PENALTY;
+        const load = running(engine.id) + zonePenalty + BUSY_WEIGHT * busyMs(engine.id);
         if (load >= bestLoad || isFull(engine, rank)) continue;
         best = engine;
         bestLoad = load;
@@ -96,16 +90,16 @@
     },
     running: (id) => running(id),
     load({ id, slots }, cacheTokens) {
-      return Math.max(running(id) / slots, (held.get(id) ?? 0) / Math.max(1, cacheTokens));
+      return Math.max(running(id) / slots, (promptTokens.get(id) ?? 0) / Math.max(1, cacheTokens));
     },
     start(id, rank, tokens) {
-      held.set(id, (held.get(id) ?? 0) + tokens);
+      promptTokens.set(id, (promptTokens.get(id) ?? 0) + tokens);
       change(id, rank, 1);
     },
     end(id, rank, tokens) {
       change(id, rank, -1);
-      if (counts.has(id)) held.set(id, (held.get(id) ?? 0) - tokens);
-      else held.delete(id);
+      if (counts.has(id)) promptTokens.set(id, (promptTokens.get(id) ?? 0) - tokens);
+      else promptTokens.delete(id);
     },
   };
 }
--- a/src/scheduling/decode-load.ts
+++ b/src/scheduling/decode-load.ts
@@ -1,58 +1,58 @@
 /**
- * How much work generating is, in engines that it would keep busy: requests that run, as a share of an
- * engine's slots or of its memory, whichever is more, and transfers of prompts, which an engine's link takes one after another. The peak
- * counts, since a change of roles takes longer than a burst.
+ * Decode load in engines: running requests, as utilization of slots or memory, plus KV cache
+ * transfers. The decaying peak is used, since changing an engine's role takes longer than a burst.
  */
 import { createRecentLoad } from './recent-load.js';
 
-/** Time over which running requests are averaged, in ms. */
-const MEMORY_MS = 1_000;
-/** Time in which a peak fades to a third, in ms: several swings of the mix. */
-const PEAK_MEMORY_MS = 30_000;
-/** Observations before which nothing is said. */
-const LEAST_NOTES = 200;
-/** Time for which traffic must have been seen before anything is said, in ms: two swings of the mix. */
-const LEAST_SEEN_MS = 5_000;
+/** Time constant of the average over running requests, in ms. */
+const AVERAGING_MS = 1_000;
+/** Time constant of the peak's decay, in ms. */
+const PEAK_DECAY_MS = 30_000;
+/** Minimum number of observations before the load is reported. */
+const MIN_OBSERVATIONS = 200;
+/** Minimum time since the first observation before the load is reported, in ms. */
+const MIN_OBSERVED_MS = 5_000;
 
-/** The work of generating. */
+/** Decode load of a service. */
 export interface DecodeLoad {
-  /** Requests run now, in full engines. */
-  observe(running: number, now: number): void;
-  /** A transfer begins that takes so many milliseconds. */
+  /** Records the utilization of all decode engines, in fully used engines. */
+  observe(utilization: number, now: number): void;
+  /** Records a transfer that takes `transferMs` milliseconds. */
   observeTransfer(transferMs: number, now: number): void;
-  /** The most of the latest time; `undefined` while too little was seen. */
+  /** The decaying peak, in engines; `undefined` while there are too few observations. */
   peak(now: number): number | undefined;
 }
 
-/** Creates a record of no work. */
+/** Creates a record without load. */
 export function createDecodeLoad(): DecodeLoad {
   const transfers = createRecentLoad();
-  let running = 0;
+  let utilization = 0;
   let peak = 0;
   let at = 0;
-  let notes = 0;
+  let observations = 0;
   let firstAt: number | undefined;
 
-  function follow(now: number): void {
-    const load = running + transfers.busyEngines(now);
-    const faded = peak * Math.exp((at - now) / PEAK_MEMORY_MS);
-    peak = Math.max(load, faded);
+  function updatePeak(now: number): void {
+    const load = utilization + transfers.busyEngines(now);
+    const decayed = peak * Math.exp((at - now) / PEAK_DECAY_MS);
+    peak = Math.max(load, decayed);
     at = now;
   }
 
   return {
     observe(value, now) {
-      notes += 1;
+      observations += 1;
       firstAt ??= now;
-      running += (1 - Math.exp((at - now) / MEMORY_MS)) * (value - running);
-      follow(now);
+      utilization += (1 - Math.exp((at - now) / AVERAGING_MS)) * (value - utilization);
+      updatePeak(now);
     },
     observeTransfer(transferMs, now) {
       transfers.record(transferMs, now);
     },
     peak(now) {
-      if (notes < LEAST_NOTES || now - (firstAt ?? now) < LEAST_SEEN_MS) return undefined;
-      follow(now);
+      if (observations < MIN_OBSERVATIONS || now - (firstAt ?? now) < MIN_OBSERVED_MS)
+        return undefined;
+      updatePeak(now);
       return peak;
     },
   };
--- a/src/scheduling/engine-model.ts
+++ b/src/scheduling/engine-model.ts
@@ -1,6 +1,6 @@
 /**
- * One engine as its scheduler follows it from the outside: what it works on, what it probably has
- * cached, and by how much it differs from the others.
+ * The scheduler's model of one engine: its current work, its probable cache contents and its speed
+ * relative to the other engines of the service.
  */
 import type { EngineRole } from '../fleet/index.js';
 import { createCacheModel } from './cache-model.js';
@@ -10,127 +10,128 @@
 import type { Prompt } from './prompt.js';
 import { createSerialWork, type SerialWork } from './serial-work.js';
 
-/** Weight of the newest read in an engine's factor: a slow engine is known after some four reads. */
-const FACTOR_WEIGHT = 0.3;
-/** A read counts as at most so many times as long as expected, and as at least the inverse. */
-const MOST_FACTOR = 8;
-/** An engine counts as like the others unless it takes so many times as long, or the inverse: smaller
- * differences are chance, and would send prompts past the engines that have their parts cached. */
-const ODD_FACTOR = 1.6;
-/** Reads that were expected to take less than this say little of the engine, in ms: ways between
- * gateways make up much of them. */
-const LEAST_TELLING_MS = 5;
+/** Weight of the latest prefill in the moving average of an engine's slowdown. */
+const SLOWDOWN_WEIGHT = 0.3;
+/** Bound on the slowdown of a single prefill, and its inverse. */
+const MAX_SLOWDOWN = 8;
+/** Smaller slowdowns are treated as noise, since they would draw prompts away from engines that have
+ * their parts cached. */
+const MIN_SLOWDOWN = 1.6;
+/** Shorter estimates are not used for the slowdown, in ms: network latency dominates them. */
+const MIN_SAMPLE_MS = 5;
 
-/** One engine. */
+/** Model of one engine. */
 export interface EngineModel {
   readonly id: string;
-  /** Reads that it was given. */
+  /** Prefills that have been assigned to the engine and have not ended. */
   readonly prefills: SerialWork;
-  /** Prompts that it fetches from other engines. */
+  /** KV cache transfers from prefill engines to this one. */
   readonly transfers: SerialWork;
-  /** Time that reading a prompt would take it, in milliseconds; 0 while its pace is unknown. */
+  /** Estimated time to prefill a prompt, in milliseconds; 0 without samples. */
   estimatePrefillMs(role: EngineRole, prompt: Prompt): number;
   /**
-   * Time for which it reads or has read prompts while it generates, of the latest `windowMs`
-   * milliseconds and of what it still has to do.
+   * Estimated time of local prefills that ran within the latest `windowMs` milliseconds or have not
+   * ended.
    */
   recentLocalPrefillMs(now: number, windowMs: number): number;
   startPrefill(job: string, role: EngineRole, prompt: Prompt, now: number): void;
-  /** A read ended; `isWhole` when the prompt was read to its end. */
-  endPrefill(job: string, isWhole: boolean, now: number): void;
-  /** It fetches a prompt that another engine has read. */
+  /** Ends a prefill; only a complete one is used as a sample. */
+  endPrefill(job: string, isComplete: boolean, now: number): void;
+  /** Starts the transfer of a prompt's KV cache to the engine. */
   startTransfer(job: string, prompt: Prompt, work: Work, now: number): void;
-  endTransfer(job: string, isWhole: boolean, now: number): void;
-  /** Takes in what it says that it has cached. */
+  endTransfer(job: string, isComplete: boolean, now: number): void;
+  /** Adds parts that the engine reported as cached. */
   addCachedParts(parts: readonly CachedPart[]): void;
 }
 
-interface Read {
+interface Prefill {
   role: EngineRole;
   work: Work;
 }
 
 /**
- * Creates an engine with nothing to do.
+ * Creates the model of an idle engine.
  *
  * @param id the server's id
- * @param cacheTokens tokens that its cache holds
- * @param paces what is known of all engines of the service
+ * @param cacheTokens capacity of the engine's cache in tokens
+ * @param latencyModels latency models of the service's engines
  */
 export function createEngineModel(
   id: string,
   cacheTokens: number,
-  paces: LatencyModels,
+  latencyModels: LatencyModels,
 ): EngineModel {
   const cache = createCacheModel(cacheTokens);
-  const reads = createSerialWork();
+  const prefills = createSerialWork();
   const transfers = createSerialWork();
-  const readWork = new Map<string, Read>();
+  const prefillWork = new Map<string, Prefill>();
   const transferWork = new Map<string, Work>();
-  /** Reads between tokens that were started lately, the oldest first. */
-  let direct: { startedAt: number; expectedMs: number }[] = [];
-  let factor = 1;
+  /** Recently started local prefills, the oldest first. */
+  let localPrefills: { startedAt: number; expectedMs: number }[] = [];
+  let slowdown = 1;
 
   function resolveWork(prompt: Prompt): Work {
-    const unread = cache.uncachedTokens(prompt);
-    return resolvePrefillWork(unread, prompt.tokens - unread);
+    const uncached = cache.uncachedTokens(prompt);
+    return resolvePrefillWork(uncached, prompt.tokens - uncached);
   }
 
-  function expectMs(role: EngineRole, work: Work): number {
-    const isAlike = factor > 1 / ODD_FACTOR && factor < ODD_FACTOR;
-    return (isAlike ? 1 : factor) * paces.estimatePrefillMs(role, work);
+  function estimateMs(role: EngineRole, work: Work): number {
+    const isTypical = slowdown > 1 / MIN_SLOWDOWN && slowdown < MIN_SLOWDOWN;
+    return (isTypical ? 1 : slowdown) * latencyModels.estimatePrefillMs(role, work);
   }
 
-  function learn({ role, work }: Read, tookMs: number): void {
-    const usualMs = paces.estimatePrefillMs(role, work);
-    if (usualMs >= LEAST_TELLING_MS) {
-      const ratio = Math.min(MOST_FACTOR, Math.max(1 / MOST_FACTOR, tookMs / usualMs));
-      factor += FACTOR_WEIGHT * (ratio - factor);
+  function observe({ role, work }: Prefill, tookMs: number): void {
+    const typicalMs = latencyModels.estimatePrefillMs(role, work);
+    if (typicalMs >= MIN_SAMPLE_MS) {
+      const ratio = Math.min(MAX_SLOWDOWN, Math.max(1 / MAX_SLOWDOWN, tookMs / typicalMs));
+      slowdown += SLOWDOWN_WEIGHT * (ratio - slowdown);
     }
-    paces.observePrefill(role, work, tookMs);
+    latencyModels.observePrefill(role, work, tookMs);
   }
 
   return {
     id,
-    prefills: reads,
+    prefills,
     transfers,
-    estimatePrefillMs: (role, prompt) => expectMs(role, resolveWork(prompt)),
+    estimatePrefillMs: (role, prompt) => estimateMs(role, resolveWork(prompt)),
     recentLocalPrefillMs(now, windowMs) {
-      direct = direct.filter((read) => read.startedAt + read.expectedMs > now - windowMs);
+      localPrefills = localPrefills.filter(
+        (prefill) => prefill.startedAt + prefill.expectedMs > now - windowMs,
+      );
       let sum = 0;
-      for (const read of direct) {
-        sum += read.expectedMs;
+      for (const prefill of localPrefills) {
+        sum += prefill.expectedMs;
       }
       return sum;
     },
     startPrefill(job, role, prompt, now) {
       const work = resolveWork(prompt);
       cache.recordUse(prompt);
-      readWork.set(job, { role, work });
-      const expectedMs = expectMs(role, work);
-      reads.start(job, expectedMs, now);
-      if (role === 'decode') direct.push({ startedAt: now, expectedMs });
+      prefillWork.set(job, { role, work });
+      const expectedMs = estimateMs(role, work);
+      prefills.start(job, expectedMs, now);
+      if (role === 'decode') localPrefills.push({ startedAt: now, expectedMs });
     },
-    endPrefill(job, isWhole, now) {
-      const tookMs = reads.end(job, now);
-      const read = readWork.get(job);
-      readWork.delete(job);
-      if (isWhole && read !== undefined && tookMs !== undefined) learn(read, tookMs);
+    endPrefill(job, isComplete, now) {
+      const tookMs = prefills.end(job, now);
+      const prefill = prefillWork.get(job);
+      prefillWork.delete(job);
+      if (isComplete && prefill !== undefined && tookMs !== undefined) observe(prefill, tookMs);
     },
     startTransfer(job, prompt, work, now) {
       cache.recordUse(prompt);
       transferWork.set(job, work);
-      transfers.start(job, paces.transfer.estimateMs(work), now);
+      transfers.start(job, latencyModels.transfer.estimateMs(work), now);
     },
     addCachedParts(parts) {
       cache.addReported(parts);
     },
-    endTransfer(job, isWhole, now) {
+    endTransfer(job, isComplete, now) {
       const tookMs = transfers.end(job, now);
       const work = transferWork.get(job);
       transferWork.delete(job);
-      if (isWhole && work !== undefined && tookMs !== undefined)
-        paces.transfer.observe(work, tookMs);
+      if (isComplete && work !== undefined && tookMs !== undefined)
+        latencyModels.transfer.observe(work, tookMs);
     },
   };
 }
--- a/src/scheduling/engine-monitor.ts
+++ b/src/scheduling/engine-monitor.ts
@@ -1,119 +1,120 @@
 /**
- * Follows how the engines of a service fare with all requests that its scheduler places, whichever
- * gateway sends them. One gateway alone sees too few requests of an engine to judge it soon; and an
- * engine that has fallen silent shows first in that nothing comes back from it.
+ * Health of a service's engines, from the outcomes of all requests that its scheduler places. A
+ * single gateway sees too few requests of an engine to detect a failure quickly. An engine that stops
+ * responding is detected by a timeout on the first event.
  */
 import { createFleetHealth, sharedViewTerms, type HealthOutcome } from '../fleet/index.js';
 import type { Log } from '../events/index.js';
 import { setPeerTimeout, type Clock, type Timer } from '../task/index.js';
 
-/** Shortest time without a first event after which an engine counts as silent, in ms: several times
- * what the first event takes on a busy engine of the deployments at hand (some tens of ms). */
-const LEAST_SILENCE_MS = 400;
-/** How many usual times to the first event a generation may take before its engine counts as silent,
- * so that engines that are slow by nature are not taken for silent ones. */
-const SILENCE_FACTOR = 4;
-/** Weight of the newest time to the first event in the usual one: about ten decide. */
-const TIME_WEIGHT = 0.1;
+/** Minimum timeout for the first event, in ms. */
+const MIN_FIRST_TOKEN_TIMEOUT_MS = 400;
+/** The timeout as a multiple of the average or estimated time to the first event, whichever is longer,
+ * so that slow engines do not count as unresponsive. */
+const TIMEOUT_FACTOR = 4;
+/** Weight of the latest sample in the average time to the first event. */
+const SAMPLE_WEIGHT = 0.1;
 
-/** How engines fare. */
+/** Health of engines. */
 export interface EngineMonitor {
   /**
-   * Whether an engine may be given a request.
+   * Whether an engine may be given a request. An engine on trial gets one at a time.
    *
-   * @param inUse requests that it has already
+   * @param requestCount requests that it already has
    */
-  isAvailable(id: string, inUse: number): boolean;
+  isAvailable(id: string, requestCount: number): boolean;
   /**
-   * Takes in how an engine's part in a request ended.
+   * Records the outcome of a request at an engine.
    *
    * @param since when the engine was given the request, on the gateway's clock
    */
   recordOutcome(id: string, outcome: HealthOutcome, since: number): void;
-  /** An engine has given a sign of life. */
+  /** Records a response of an engine. */
   recordResponse(id: string): void;
   /**
-   * An engine is to generate.
+   * Starts the timeout for the first event of a request.
    *
-   * @param expectedMs how long it is expected to take until the first event, in milliseconds
+   * @param expectedMs estimated time to the first event, in milliseconds
    */
   expectFirstToken(job: string, engine: string, expectedMs: number): void;
-  /** The first event of a generation has come. */
   firstTokenReceived(job: string): void;
-  /** A request has ended, however. */
+  /** The request has ended, with or without an answer. */
   requestEnded(job: string): void;
-  /** An engine is gone for good. */
+  /** Removes an engine that will not return. */
   forget(engine: string): void;
 }
 
-interface Expectation {
+interface PendingFirstToken {
   engine: string;
   since: number;
   timer: Timer;
 }
 
 /**
- * Creates a watch that has seen nothing.
+ * Creates a monitor.
  *
  * @param clock the gateway's clock
- * @param log hears when an engine is avoided and when it is trusted again
+ * @param log logs when an engine becomes unhealthy and when it recovers
  */
 export function createEngineMonitor(clock: Clock, log: Log): EngineMonitor {
   const health = createFleetHealth(clock, log, sharedViewTerms);
-  const expectations = new Map<string, Expectation>();
-  /** When each engine last gave a sign of life. */
-  const heardAt = new Map<string, number>();
-  let usualMs = 0;
+  const pendingByJob = new Map<string, PendingFirstToken>();
+  const lastResponseAt = new Map<string, number>();
+  let averageMs = 0;
 
-  function end(job: string): Expectation | undefined {
-    const expectation = expectations.get(job);
-    expectation?.timer.cancel();
-    expectations.delete(job);
-    return expectation;
+  function end(job: string): PendingFirstToken | undefined {
+    const pending = pendingByJob.get(job);
+    pending?.timer.cancel();
+    pendingByJob.delete(job);
+    return pending;
   }
 
-  function isHeardSince(engine: string, since: number): boolean {
-    return (heardAt.get(engine) ?? Number.NEGATIVE_INFINITY) > since;
+  function hasRespondedSince(engine: string, since: number): boolean {
+    return (lastResponseAt.get(engine) ?? Number.NEGATIVE_INFINITY) > since;
   }
 
-  function noticeSilence({ engine, since }: Expectation): void {
-    if (!isHeardSince(engine, since)) health.avoid(engine);
+  function handleTimeout({ engine, since }: PendingFirstToken): void {
+    if (!hasRespondedSince(engine, since)) health.avoid(engine);
   }
 
   return {
-    isAvailable: (id, inUse) => health.isUsable(id) && (inUse === 0 || !health.isOnTrial(id)),
+    isAvailable: (id, requestCount) =>
+      health.isUsable(id) && (requestCount === 0 || !health.isOnTrial(id)),
     recordOutcome(id, outcome, since) {
-      if (outcome === 'good') heardAt.set(id, clock.now());
+      if (outcome === 'good') lastResponseAt.set(id, clock.now());
       if (outcome !== 'silent') health.record(id, outcome);
-      // an engine that is heard is busy; one that is not is as good as out of reach
-      else if (!isHeardSince(id, since)) health.record(id, 'unreachable');
+      // an engine that responds to other requests is busy, otherwise it counts as unreachable
+      else if (!hasRespondedSince(id, since)) health.record(id, 'unreachable');
     },
     recordResponse(id) {
-      heardAt.set(id, clock.now());
+      lastResponseAt.set(id, clock.now());
     },
     expectFirstToken(job, engine, expectedMs) {
       end(job);
-      const silenceMs = Math.max(LEAST_SILENCE_MS, Math.max(usualMs, expectedMs) * SILENCE_FACTOR);
+      const timeoutMs = Math.max(
+        MIN_FIRST_TOKEN_TIMEOUT_MS,
+        Math.max(averageMs, expectedMs) * TIMEOUT_FACTOR,
+      );
       const since = clock.now();
-      const timer = setPeerTimeout(clock, silenceMs, () => {
-        noticeSilence(expectation);
+      const timer = setPeerTimeout(clock, timeoutMs, () => {
+        handleTimeout(pending);
       });
-      const expectation: Expectation = { engine, since, timer };
-      expectations.set(job, expectation);
+      const pending: PendingFirstToken = { engine, since, timer };
+      pendingByJob.set(job, pending);
     },
     firstTokenReceived(job) {
-      const expectation = end(job);
-      if (expectation === undefined) return;
+      const pending = end(job);
+      if (pending === undefined) return;
       const now = clock.now();
-      heardAt.set(expectation.engine, now);
-      usualMs += TIME_WEIGHT * (now - expectation.since - usualMs);
+      lastResponseAt.set(pending.engine, now);
+      averageMs += SAMPLE_WEIGHT * (now - pending.since - averageMs);
     },
     requestEnded(job) {
       end(job);
     },
     forget(engine) {
       health.forget(engine);
-      heardAt.delete(engine);
+      lastResponseAt.delete(engine);
     },
   };
 }
--- a/src/scheduling/engine-states.ts
+++ b/src/scheduling/engine-states.ts
@@ -1,6 +1,5 @@
 /**
- * The engines that a scheduler follows, with what waits for each. One that it does not know yet is asked
- * for what it has cached.
+ * Model and prefill queue of each engine of a service, created on first use.
  */
 import type { Log } from '../events/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
@@ -10,46 +9,45 @@
 import type { LatencyModels } from './latency-models.js';
 import { createPrefillQueue, type PrefillQueue } from './prefill-queue.js';
 
-/** What following engines needs. */
+/** Dependencies of the engine states. */
 export interface EngineStatesParts {
   log: Log;
   latencyModels: LatencyModels;
-  /** Tokens that the cache of one engine holds. */
+  /** Capacity of one engine's cache in tokens. */
   cacheTokens(): number;
-  /** Where engines are asked for what they have cached; they are not where it is absent. */
+  /** Lists the cached parts of new engines; if absent, their caches are assumed to be empty. */
   caches: CacheInventory | undefined;
   find(id: string): RegisteredServer | undefined;
 }
 
-/** Engines with what waits for them. */
+/** Models and queues of engines. */
 export interface EngineStates {
   model: (id: string) => EngineModel;
   queue: (id: string) => PrefillQueue<TrackedJob>;
-  /** Reads that an engine was given or that wait for it. */
+  /** Prefills that run on an engine or wait for it. */
   requestCount(id: string): number;
-  /** An engine is gone for good. */
+  /** Removes an engine that will not return. */
   forget(id: string): void;
 }
 
 /**
- * Creates a scheduler's knowledge of no engine.
+ * Creates a record without engines.
  *
- * @param parts what is known of the service's engines
+ * @param parts latency models and caches of the service's engines
  */
 export function createEngineStates(parts: EngineStatesParts): EngineStates {
-  const { log, latencyModels: paces, caches } = parts;
+  const { log, latencyModels, caches } = parts;
   const models = new Map<string, EngineModel>();
   const queues = new Map<string, PrefillQueue<TrackedJob>>();
 
   /**
-   * Asks an engine for what it has cached. A scheduler that starts anew would otherwise take all
-   * prompts for unread, turn away what can well be served, and have parts read again elsewhere: in
-   * a replayed load whose scheduler ends at the peak, 78 of 100 long prompts are on time in place of 70.
+   * Loads what an engine has cached. Without it, a new scheduler would assume empty caches,
+   * overestimate prefill times and send prompts to engines without their parts.
    */
-  async function learnCache(engine: EngineModel, lists: CacheInventory): Promise<void> {
+  async function loadCache(engine: EngineModel, inventory: CacheInventory): Promise<void> {
     const server = parts.find(engine.id);
     if (server === undefined) return;
-    const listed = await lists.list(server);
+    const listed = await inventory.list(server);
     if (listed.isErr()) {
       log.write('engineCacheUnknown', { server: engine.id, reason: listed.error });
       return;
@@ -62,9 +60,9 @@
     model(id) {
       const known = models.get(id);
       if (known !== undefined) return known;
-      const created = createEngineModel(id, parts.cacheTokens(), paces);
+      const created = createEngineModel(id, parts.cacheTokens(), latencyModels);
       models.set(id, created);
-      if (caches !== undefined) void learnCache(created, caches);
+      if (caches !== undefined) void loadCache(created, caches);
       return created;
     },
     queue(id) {
--- a/src/scheduling/index.ts
+++ b/src/scheduling/index.ts
@@ -1,4 +1,4 @@
-/** Placing a service's requests on its engines. */
+/** Places the requests of a service on its engines. */
 export * from './cached-parts.js';
 export * from './scheduling-gateway.js';
 export * from './job.js';
--- a/src/scheduling/job-submitter.ts
+++ b/src/scheduling/job-submitter.ts
@@ -1,12 +1,11 @@
 /**
- * Submits requests to the scheduler of their service, at whichever gateway it is. All gateways
- * agree on that gateway from the peers that they hear; where they disagree for a moment, two
- * schedulers place requests of one service, which costs balance and nothing else.
+ * Submits requests to the scheduler of their service, on this or another gateway. Gateways choose the
+ * scheduling gateway from the peers that they see as ready. If they disagree for a moment, two
+ * schedulers place requests of one service, which makes the load less even but is otherwise safe.
  *
- * A scheduler answers at once that it has a request. Where it does not, everything that was submitted
- * to it moves to the gateway that is drawn next, which is told what already runs; where that is
- * silent too, the gateway places the request by itself. So a frozen or lost peer costs callers a few
- * tens of milliseconds.
+ * A scheduler acknowledges each request. If it does not, all requests that were submitted to it fail
+ * over to the next gateway in order, which adopts those that already run. If that one does not
+ * acknowledge either, the gateway places the request itself.
  */
 import type { Log } from '../events/index.js';
 import type { HealthOutcome } from '../fleet/index.js';
@@ -14,14 +13,13 @@
 import type { Decision, EnginePlacement, Job } from './job.js';
 import type { Scheduler } from './scheduler.js';
 
-/** How long a scheduler at another gateway may take to say that it has a request, in ms: some ways
- * there and back between availability zones, and its processor's turn. */
-const SILENCE_MS = 40;
-/** A scheduler that was silent is not asked for so long, in ms; then one request tries it. */
+/** Timeout for the acknowledgement of a scheduler on another gateway, in ms. */
+const ACK_TIMEOUT_MS = 40;
+/** Time for which a scheduler is avoided after a timeout, in ms. */
 const AVOID_MS = 500;
 
-/** Schedulers that are asked for one request before its gateway places it alone. */
-const MAX_ASKED = 2;
+/** Schedulers that a request is submitted to before its gateway places it itself. */
+const MAX_SUBMISSIONS = 2;
 
 /** A gateway that may schedule. */
 export interface SchedulingGateway {
@@ -29,22 +27,22 @@
   cores: number;
 }
 
-/** Messages to schedulers at other gateways. */
+/** Messages to schedulers on other gateways. */
 export type SchedulerMessage =
   | { kind: 'job.submit'; job: Job }
-  /** A request that was placed by a scheduler that is lost now. */
+  /** Hands over a request that was placed by a scheduler that is lost. */
   | { kind: 'job.adopt'; job: Job; placement: EnginePlacement }
   | { kind: 'job.read'; id: string }
   | { kind: 'job.begun'; id: string }
   | { kind: 'job.finished'; id: string; outcome?: HealthOutcome | undefined };
 
-/** Messages from schedulers at other gateways. */
+/** Messages from schedulers on other gateways. */
 export type SchedulerAnswer =
   | { kind: 'job.queued'; id: string }
   | { kind: 'job.placed'; id: string; placement: EnginePlacement }
   | DeclinedAnswer;
 
-/** A request that got no engines. */
+/** The answer for a request that was not placed. */
 export interface DeclinedAnswer {
   kind: 'job.declined';
   id: string;
@@ -53,86 +51,83 @@
   backlogMs: number;
 }
 
-/** What the submitter needs. */
+/** Dependencies of the submitter. */
 export interface JobSubmitterParts {
   clock: Clock;
   log: Log;
   node: string;
   zone: string;
   /**
-   * The gateway that schedules a service now.
+   * The gateway that schedules a service.
    *
-   * @param isAvoided whether a gateway was silent lately
+   * @param isAvoided whether a gateway recently timed out
    */
   schedulerOf(service: string, isAvoided: (node: string) => boolean): string;
   /** The scheduler in this process. */
   local(service: string): Scheduler;
-  /** Sends to another gateway; false when there is no link. */
+  /** Sends to another gateway; returns false without a link. */
   send(node: string, message: SchedulerMessage): boolean;
 }
 
-/** A request at its scheduler. */
+/** A submitted request; its gateway reports the progress to the scheduler. */
 export interface ScheduledJob {
-  /** Its prompt was read. */
   prefillCompleted(): void;
-  /** The first event has come. */
   firstTokenReceived(): void;
   /**
-   * It has ended.
+   * Ends the request, with or without an answer.
    *
-   * @param outcome what became of it at the engine that had it last, where that says something of it
+   * @param outcome outcome at the last engine, if it is relevant to that engine's health
    */
   finished(outcome?: HealthOutcome): void;
 }
 
-/** Where gateways hand their requests in. */
+/** Submits requests to schedulers. */
 export interface JobSubmitter {
-  submit(job: Omit<Job, 'id' | 'zone'>, decided: (decision: Decision) => void): ScheduledJob;
-  /** A word of another gateway's scheduler. */
+  submit(job: Omit<Job, 'id' | 'zone'>, onDecision: (decision: Decision) => void): ScheduledJob;
   answerReceived(node: string, answer: SchedulerAnswer): void;
-  /** A peer was lost: what it had is placed here. */
+  /** Fails over the requests that were submitted to a lost peer. */
   peerLost(node: string): void;
 }
 
 interface Submission {
   job: Job;
-  decided: (decision: Decision) => void;
-  /** Where it is: a peer's name, or this gateway's own. */
-  at: string;
+  onDecision: (decision: Decision) => void;
+  /** Name of the gateway whose scheduler has the request. */
+  scheduler: string;
   submittedAt: number;
-  silence: Timer | undefined;
+  ackTimer: Timer | undefined;
   isDecided: boolean;
   placement: EnginePlacement | undefined;
-  /** Schedulers that were asked for it. */
-  asked: number;
+  /** Number of schedulers that the request was submitted to. */
+  submissions: number;
 }
 
 /**
  * Creates a submitter.
  *
- * @param parts the schedulers and the way to them
+ * @param parts the schedulers and the transport to them
  */
 export function createJobSubmitter(parts: JobSubmitterParts): JobSubmitter {
   const { clock, log, node } = parts;
-  const submissions = new Map<string, Submission>();
+  const submissionById = new Map<string, Submission>();
   const avoidedUntil = new Map<string, number>();
   let counter = 0;
 
-  function submitAt(submission: Submission, at: string): void {
-    submission.at = at;
-    submission.asked += 1;
-    if (at === node || submission.asked > MAX_ASKED) {
-      submitHere(submission);
+  function submitTo(submission: Submission, scheduler: string): void {
+    submission.scheduler = scheduler;
+    submission.submissions += 1;
+    if (scheduler === node || submission.submissions > MAX_SUBMISSIONS) {
+      submitLocally(submission);
       return;
     }
-    if (!parts.send(at, { kind: 'job.submit', job: withTimeLeft(submission) })) {
-      submitHere(submission);
+    if (!parts.send(scheduler, { kind: 'job.submit', job: withTimeLeft(submission) })) {
+      submitLocally(submission);
       return;
     }
-    submission.silence = setPeerTimeout(clock, SILENCE_MS, () => {
-      log.write('schedulerSilent', { peer: at, request: submission.job.requestId });
-      avoidedUntil.set(at, clock.now() + AVOID_MS);
-      moveFrom(at);
+    submission.ackTimer = setPeerTimeout(clock, ACK_TIMEOUT_MS, () => {
+      log.write('schedulerSilent', { peer: scheduler, request: submission.job.requestId });
+      avoidedUntil.set(scheduler, clock.now() + AVOID_MS);
+      failOverFrom(scheduler);
     });
   }
 
@@ -140,39 +135,39 @@
     return parts.schedulerOf(service, (peer) => (avoidedUntil.get(peer) ?? 0) > clock.now());
   }
 
-  /** The job with the times that are left of it. */
+  /** The job with its remaining times as of now. */
   function withTimeLeft({ job, submittedAt }: Submission): Job {
-    const spentMs = clock.now() - submittedAt;
+    const elapsedMs = clock.now() - submittedAt;
     return {
       ...job,
-      aimLeftMs: job.aimLeftMs - spentMs,
-      timeLeftMs: job.timeLeftMs - spentMs,
+      aimLeftMs: job.aimLeftMs - elapsedMs,
+      timeLeftMs: job.timeLeftMs - elapsedMs,
     };
   }
 
-  /** Hands everything that a scheduler had to the one that is drawn now. */
-  function moveFrom(from: string): void {
-    for (const submission of submissions.values()) {
-      if (submission.at !== from) continue;
-      submission.silence?.cancel();
-      submission.silence = undefined;
-      parts.send(from, { kind: 'job.finished', id: submission.job.id });
+  /** Moves all requests of a scheduler to the one that is next in order. */
+  function failOverFrom(scheduler: string): void {
+    for (const submission of submissionById.values()) {
+      if (submission.scheduler !== scheduler) continue;
+      submission.ackTimer?.cancel();
+      submission.ackTimer = undefined;
+      parts.send(scheduler, { kind: 'job.finished', id: submission.job.id });
       const next = schedulerOf(submission.job.service);
-      if (submission.placement === undefined) submitAt(submission, next);
+      if (submission.placement === undefined) submitTo(submission, next);
       else adoptAt(submission, submission.placement, next);
     }
   }
 
-  function adoptAt(submission: Submission, placement: EnginePlacement, at: string): void {
-    submission.at = at;
+  function adoptAt(submission: Submission, placement: EnginePlacement, scheduler: string): void {
+    submission.scheduler = scheduler;
     const { job } = submission;
-    if (at === node) parts.local(job.service).adopt(job, placement);
-    else parts.send(at, { kind: 'job.adopt', job, placement });
+    if (scheduler === node) parts.local(job.service).adopt(job, placement);
+    else parts.send(scheduler, { kind: 'job.adopt', job, placement });
   }
 
-  function submitHere(submission: Submission): void {
-    submission.at = node;
-    submission.silence = undefined;
+  function submitLocally(submission: Submission): void {
+    submission.scheduler = node;
+    submission.ackTimer = undefined;
     const job = withTimeLeft(submission);
     parts.local(job.service).submit(job, (decision) => {
       decide(submission, decision);
@@ -182,16 +177,16 @@
   function decide(submission: Submission, decision: Decision): void {
     if (submission.isDecided) return;
     submission.isDecided = true;
-    submission.silence?.cancel();
-    submission.silence = undefined;
+    submission.ackTimer?.cancel();
+    submission.ackTimer = undefined;
     if (decision.kind === 'placed') submission.placement = decision.placement;
-    submission.decided(decision);
+    submission.onDecision(decision);
   }
 
-  function tell(submission: Submission, kind: 'job.read' | 'job.begun'): void {
+  function reportProgress(submission: Submission, kind: 'job.read' | 'job.begun'): void {
     const { id, service } = submission.job;
-    if (submission.at !== node) {
-      parts.send(submission.at, { kind, id });
+    if (submission.scheduler !== node) {
+      parts.send(submission.scheduler, { kind, id });
       return;
     }
     if (kind === 'job.read') parts.local(service).prefillCompleted(id);
@@ -200,46 +195,46 @@
 
   function finish(submission: Submission, outcome: HealthOutcome | undefined): void {
     const { id, service } = submission.job;
-    if (submission.at === node) parts.local(service).finished(id, outcome);
-    else parts.send(submission.at, { kind: 'job.finished', id, outcome });
+    if (submission.scheduler === node) parts.local(service).finished(id, outcome);
+    else parts.send(submission.scheduler, { kind: 'job.finished', id, outcome });
   }
 
   return {
-    submit(request, decided) {
+    submit(request, onDecision) {
       counter += 1;
       const job: Job = { ...request, id: `${node}/${counter}`, zone: parts.zone };
       const submission: Submission = {
         job,
-        decided,
-        at: node,
+        onDecision,
+        scheduler: node,
         submittedAt: clock.now(),
-        silence: undefined,
+        ackTimer: undefined,
         isDecided: false,
         placement: undefined,
-        asked: 0,
+        submissions: 0,
       };
-      submissions.set(job.id, submission);
-      submitAt(submission, schedulerOf(job.service));
+      submissionById.set(job.id, submission);
+      submitTo(submission, schedulerOf(job.service));
       return {
         prefillCompleted() {
-          tell(submission, 'job.read');
+          reportProgress(submission, 'job.read');
         },
         firstTokenReceived() {
-          tell(submission, 'job.begun');
+          reportProgress(submission, 'job.begun');
         },
         finished(outcome) {
-          if (!submissions.delete(job.id)) return;
+          if (!submissionById.delete(job.id)) return;
           submission.isDecided = true;
-          submission.silence?.cancel();
+          submission.ackTimer?.cancel();
           finish(submission, outcome);
         },
       };
     },
     answerReceived(from, answer) {
-      const submission = submissions.get(answer.id);
-      if (submission?.at !== from) return;
-      submission.silence?.cancel();
-      submission.silence = undefined;
+      const submission = submissionById.get(answer.id);
+      if (submission?.scheduler !== from) return;
+      submission.ackTimer?.cancel();
+      submission.ackTimer = undefined;
       if (answer.kind === 'job.queued') return;
       if (answer.kind === 'job.placed') {
         decide(submission, { kind: 'placed', placement: answer.placement });
@@ -248,8 +243,8 @@
       const { reason, retryAfterMs, backlogMs } = answer;
       decide(submission, { kind: 'declined', reason, retryAfterMs, backlogMs });
     },
-    peerLost(from) {
-      moveFrom(from);
+    peerLost(peer) {
+      failOverFrom(peer);
     },
   };
 }
--- a/src/scheduling/job.ts
+++ b/src/scheduling/job.ts
@@ -1,10 +1,10 @@
 /**
- * What gateways and the scheduler of a service say to each other about one request.
+ * Types of a request that gateways and schedulers exchange.
  */
 import * as z from 'zod';
 
 export const jobSchema = z.object({
-  /** Names the request at the scheduler; the gateway's name is part of it. */
+  /** Identifies the request at the scheduler; prefixed with the gateway's name. */
   id: z.string(),
   service: z.string(),
   /** The caller's id of the request, for logs. */
@@ -17,44 +17,44 @@
   }),
   /** Rank of its route; engines admit requests of rank 0 first. */
   rank: z.number().default(0),
-  /** Longest pause between two events within which the answer is on time, in milliseconds. */
+  /** Inter-token latency objective, in milliseconds between two events. */
   pauseMs: z.number().default(Number.POSITIVE_INFINITY),
-  /** Time until the first event is late, in milliseconds from when this was sent. */
+  /** Time left until the first event misses its objective when this was sent, in milliseconds. */
   aimLeftMs: z.number(),
-  /** Time until the answer is of no use, in milliseconds from when this was sent. */
+  /** Time left until the deadline when this was sent, in milliseconds. */
   timeLeftMs: z.number(),
-  /** The caller was refused before and came back. */
+  /** The caller retries after it was refused. */
   isReturn: z.boolean(),
-  /** The prompt was read already; only an engine that generates is wanted. */
+  /** The prefill is complete; only a decode engine is needed. */
   isRead: z.boolean(),
-  /** Where the gateway is. */
+  /** The gateway's availability zone. */
   zone: z.string(),
-  /** Engines that this request was already sent to in vain. */
+  /** Engines that have failed this request; they are not used again. */
   excluded: z.array(z.string()).readonly(),
-  /** Engines that its gateway leaves alone for now; they are used where there are no others. */
+  /** Engines that the gateway avoids; they are used if there is no other. */
   avoided: z.array(z.string()).readonly().default([]),
 });
 
-/** A request that asks for engines. */
+/** A request for engines. */
 export type Job = z.infer<typeof jobSchema>;
 
 export const placementSchema = z.object({
-  /** The engine that reads the prompt; absent where the generating engine reads it itself. */
+  /** The prefill engine; absent if the decode engine does the prefill. */
   reader: z.string().optional(),
-  /** The engine that generates. */
+  /** The decode engine. */
   generator: z.string(),
-  /** How long the reader is expected to take, with what it was given before, in milliseconds; absent
-   * while nothing is known of its pace. */
+  /** Estimated time until the prefill engine has finished the prefill, including queued ones, in
+   * milliseconds; absent without latency samples. */
   expectedReadMs: z.number().optional(),
 });
 
-/** Engines for one request. */
+/** The engines assigned to a request. */
 export type EnginePlacement = z.infer<typeof placementSchema>;
 
-/** Why a request gets no engines. */
+/** Why a request was declined. */
 export type DeclineReason = 'no-engine' | 'cannot-be-on-time' | 'cancelled';
 
-/** What a scheduler decides on a request. */
+/** A scheduler's decision on a request. */
 export type Decision =
   | { kind: 'placed'; placement: EnginePlacement }
   | { kind: 'declined'; reason: DeclineReason; retryAfterMs: number; backlogMs: number };
--- a/src/scheduling/latency-margin.ts
+++ b/src/scheduling/latency-margin.ts
@@ -1,19 +1,19 @@
 /**
- * How far first events come later than predicted, learnt from those that were. What is admitted as
- * on time must hold with this margin: a mean alone would make every second request late that waits
- * to its last moment. In a replayed overload 72 of 100 are on time with it, 65 without.
+ * Safety margin for latency estimates: the moving average of their error plus its mean deviation.
+ * Admitting on the mean alone would make about half of the requests at the limit miss their
+ * objective.
  */
 
-/** Weight of the newest difference: some twenty decide. */
+/** Weight of the latest error. */
 const WEIGHT = 0.05;
-/** A single difference counts as at most this, in ms: a lost engine is no error of prediction. */
-const MOST_MS = 250;
+/** Bound on a single error, in ms, so that the loss of an engine does not dominate the margin. */
+const MAX_ERROR_MS = 250;
 
-/** The margin of predictions. */
+/** Margin for latency estimates. */
 export interface LatencyMargin {
-  /** Time by which predictions are usually exceeded, in milliseconds; not below 0. */
+  /** Margin to add to an estimate, in milliseconds; not negative. */
   marginMs(): number;
-  /** Takes in how much later than predicted a first event came, in milliseconds. */
+  /** Records by how much a first event came later than estimated, in milliseconds. */
   observe(lateMs: number): void;
 }
 
@@ -24,9 +24,9 @@
   return {
     marginMs: () => Math.max(0, meanMs + deviationMs),
     observe(lateMs) {
-      const countedMs = Math.min(MOST_MS, Math.max(-MOST_MS, lateMs));
-      meanMs += WEIGHT * (countedMs - meanMs);
-      deviationMs += WEIGHT * (Math.abs(countedMs - meanMs) - deviationMs);
+      const boundedMs = Math.min(MAX_ERROR_MS, Math.max(-MAX_ERROR_MS, lateMs));
+      meanMs += WEIGHT * (boundedMs - meanMs);
+      deviationMs += WEIGHT * (Math.abs(boundedMs - meanMs) - deviationMs);
     },
   };
 }
--- a/src/scheduling/latency-model.ts
+++ b/src/scheduling/latency-model.ts
@@ -1,83 +1,78 @@
 /**
- * How long a kind of work takes on the engines of a service, learnt from work that has ended. Nothing
- * is assumed of the engines: until the first piece of work has ended the pace is unknown, and
- * callers of this module must probe. All engines of a service are usually alike, so one pace is
- * learnt from all of them and a factor for each that differs (`engine-model.ts`).
- *
- * Answers: a cold start and a new kind of engine under full load. With a pace assumed for other
- * engines (300 tokens a ms where 64 was true), reads were queued and cut by wrong times.
+ * Estimates how long one kind of work takes on a service's engines, from completed work. There are no
+ * assumptions about the engines: without samples the estimate is 0, and callers must probe. All
+ * engines share one model; `engine-model.ts` corrects it for engines that deviate.
  */
 import { createLinearModel } from './least-squares.js';
 
-/** An amount of work, in the quantities that its time grows with. */
+/** An amount of work, in the quantities that determine its duration. */
 export interface Work {
-  /** Tokens that are read or moved. */
+  /** Tokens to prefill or to transfer. */
   tokens: number;
-  /** Pairs of a token with one before it, which attention has to go through; 0 for plain moves. */
+  /** Pairs of a token with an earlier one, the cost of attention; 0 for transfers. */
   pairs: number;
 }
 
 const TOKENS_UNIT = 1_000;
 const PAIRS_UNIT = 1_000_000;
-/** How far the weights may plausibly be from 0: a fixed part in ms, ms for 1,000 tokens (engines read
- * 10 tokens a ms and more), ms for a million pairs. They only say which term explains a first
- * observation; a few more observations override them. */
-const PLAUSIBLE = [5, 100, 0.6] as const;
-/** Chance part of a measured time: a fixed one in ms, the ways between gateways, and a relative one. */
-const DEVIATION_MS = 3;
-const DEVIATION_SHARE = 0.15;
-/** A measured time counts as at most so many times the expected one, and as at least the inverse: one
- * engine that stands still must not change the pace of all. */
-const MOST_SURPRISE = 2;
+/** Prior standard deviations of the weights: ms per piece of work, ms per 1,000 tokens, and ms per
+ * million pairs. They determine how the first few observations are split among the terms. */
+const PRIOR_DEVIATIONS = [5, 100, 0.6] as const;
+/** Noise of a measured time: a fixed part in ms and a relative one. */
+const NOISE_MS = 3;
+const NOISE_SHARE = 0.15;
+/** Bound on a measured time relative to its estimate, and its inverse, so that one stalled engine does
+ * not distort the model for all. */
+const MAX_DEVIATION_FACTOR = 2;
 
-/** How long work takes. */
+/** Latency model of one kind of work. */
 export interface LatencyModel {
-  /** Whether any work has ended yet. */
+  /** Whether any work has been observed. */
   hasSamples(): boolean;
-  /** Time that work takes, in milliseconds; 0 while unknown. */
+  /** Estimated duration in milliseconds; 0 without samples. */
   estimateMs(work: Work): number;
-  /** Takes a measured time in, in milliseconds. */
+  /** Updates the model with a measured duration in milliseconds. */
   observe(work: Work, measuredMs: number): void;
 }
 
-/** Creates a pace that is unknown. */
+/** Creates a model without samples. */
 export function createLatencyModel(): LatencyModel {
-  const estimate = createLinearModel(PLAUSIBLE);
+  const model = createLinearModel(PRIOR_DEVIATIONS);
   let samples = 0;
 
-  function expectMs(work: Work): number {
-    return samples === 0 ? 0 : Math.max(0, estimate.predict(resolveTerms(work)));
+  function estimateMs(work: Work): number {
+    return samples === 0 ? 0 : Math.max(0, model.predict(resolveTerms(work)));
   }
 
   return {
     hasSamples: () => samples > 0,
-    estimateMs: expectMs,
+    estimateMs,
     observe(work, measuredMs) {
-      const expectedMs = expectMs(work);
-      const believedMs = samples === 0 ? measuredMs : resolveBelieved(measuredMs, expectedMs);
-      const deviationMs = DEVIATION_MS + DEVIATION_SHARE * believedMs;
-      estimate.observe(resolveTerms(work), believedMs, deviationMs);
+      const estimatedMs = estimateMs(work);
+      const boundedMs = samples === 0 ? measuredMs : resolveBounded(measuredMs, estimatedMs);
+      const noiseMs = NOISE_MS + NOISE_SHARE * boundedMs;
+      model.observe(resolveTerms(work), boundedMs, noiseMs);
       samples += 1;
     },
   };
 }
 
 /**
- * The work of reading the end of a prompt whose beginning is cached.
+ * The work of prefilling a prompt whose prefix is cached.
  *
- * @param unread tokens to be read
- * @param cached tokens before them
+ * @param uncached tokens to prefill
+ * @param cached tokens of the cached prefix
  */
-export function resolvePrefillWork(unread: number, cached: number): Work {
-  return { tokens: unread, pairs: unread * (cached + unread / 2) };
+export function resolvePrefillWork(uncached: number, cached: number): Work {
+  return { tokens: uncached, pairs: uncached * (cached + uncached / 2) };
 }
 
 function resolveTerms({ tokens, pairs }: Work): readonly number[] {
   return [1, tokens / TOKENS_UNIT, pairs / PAIRS_UNIT];
 }
 
-function resolveBelieved(measuredMs: number, expectedMs: number): number {
-  const most = expectedMs * MOST_SURPRISE + DEVIATION_MS;
-  const least = expectedMs / MOST_SURPRISE - DEVIATION_MS;
+function resolveBounded(measuredMs: number, estimatedMs: number): number {
+  const most = estimatedMs * MAX_DEVIATION_FACTOR + NOISE_MS;
+  const least = estimatedMs / MAX_DEVIATION_FACTOR - NOISE_MS;
   return Math.min(most, Math.max(least, measuredMs));
 }
--- a/src/scheduling/latency-models.ts
+++ b/src/scheduling/latency-models.ts
@@ -1,42 +1,41 @@
 /**
- * The paces of one service's engines: reading prompts for others, reading them between tokens that
- * are generated, and moving what was read to the engine that generates.
+ * Latency models of one service's engines: prefill on prefill engines, local prefill on decode
+ * engines, and KV cache transfer.
  */
 import type { EngineRole } from '../fleet/index.js';
 import { createLatencyModel, type LatencyModel, type Work } from './latency-model.js';
 
-/** How many times as long reading takes an engine that generates as well: engines are described to
- * read at half the speed then. Used until reads of both kinds were seen. */
-const GENERATING_SLOWDOWN = 2;
+/** How much slower a prefill is on a decode engine; used until both kinds have samples. */
+const LOCAL_PREFILL_SLOWDOWN = 2;
 
-/** The paces of one service's engines. */
+/** Latency models of one service's engines. */
 export interface LatencyModels {
-  /** Whether any read has ended yet. */
+  /** Whether any prefill has been observed. */
   hasSamples(): boolean;
-  /** Time that an engine of a role takes to read, in milliseconds; 0 while nothing is known. */
+  /** Estimated prefill time on an engine of a role, in milliseconds; 0 without samples. */
   estimatePrefillMs(role: EngineRole, work: Work): number;
   observePrefill(role: EngineRole, work: Work, measuredMs: number): void;
-  /** Time from the end of a read to the first event of the generating engine. */
+  /** From the end of the prefill to the first event of the decode engine. */
   transfer: LatencyModel;
 }
 
-/** Creates paces of which nothing is known. */
+/** Creates models without samples. */
 export function createLatencyModels(): LatencyModels {
-  const reading = createLatencyModel();
-  const direct = createLatencyModel();
+  const prefill = createLatencyModel();
+  const localPrefill = createLatencyModel();
   const transfer = createLatencyModel();
   return {
-    hasSamples: () => reading.hasSamples() || direct.hasSamples(),
+    hasSamples: () => prefill.hasSamples() || localPrefill.hasSamples(),
     estimatePrefillMs(role, work) {
       if (role === 'prefill') {
-        if (reading.hasSamples()) return reading.estimateMs(work);
-        return direct.estimateMs(work) / GENERATING_SLOWDOWN;
+        if (prefill.hasSamples()) return prefill.estimateMs(work);
+        return localPrefill.estimateMs(work) / LOCAL_PREFILL_SLOWDOWN;
       }
-      if (direct.hasSamples()) return direct.estimateMs(work);
-      return reading.estimateMs(work) * GENERATING_SLOWDOWN;
+      if (localPrefill.hasSamples()) return localPrefill.estimateMs(work);
+      return prefill.estimateMs(work) * LOCAL_PREFILL_SLOWDOWN;
     },
     observePrefill(role, work, measuredMs) {
-      (role === 'prefill' ? reading : direct).observe(work, measuredMs);
+      (role === 'prefill' ? prefill : localPrefill).observe(work, measuredMs);
     },
     transfer,
   };
--- a/src/scheduling/least-squares.ts
+++ b/src/scheduling/least-squares.ts
@@ -1,30 +1,30 @@
 /**
- * Linear estimates that are learnt one observation at a time. The newest observations count most, so
- * that an estimate follows what it describes, and a wide prior makes the first one useful already.
+ * Recursive least squares (a Kalman filter over the weights) with non-negative weights. Process noise
+ * keeps the gain from vanishing, so that recent observations count most; the wide prior makes the
+ * model usable after the first one.
  */
 
-/** Share of the prior's uncertainty that returns with each observation: some fifty decide. */
-const DRIFT = 0.0004;
+/** Share of the prior variance that is added back to each weight per observation. */
+const PROCESS_NOISE_SHARE = 0.0004;
 
-/** An estimate of a quantity as a weighted sum of known terms. No weight is negative, so that more of
- * a term never makes for less of the quantity. */
+/** Model of a quantity as a weighted sum of known terms. Weights are not negative, so that predictions
+ * never decrease with a term. */
 export interface LinearModel {
-  /** The quantity for given terms, by all that was observed. */
   predict(terms: readonly number[]): number;
   /**
-   * Takes an observation in.
+   * Updates the weights with an observation.
    *
    * @param terms the known terms
-   * @param value the quantity that was observed
-   * @param deviation how far such an observation is off by chance, in the quantity's unit
+   * @param value the observed quantity
+   * @param deviation standard deviation of the observation's noise, in the quantity's unit
    */
   observe(terms: readonly number[], value: number, deviation: number): void;
 }
 
 /**
- * Creates an estimate whose weights are all 0, each uncertain by a given amount.
+ * Creates a model with all weights 0.
  *
- * @param deviations how far each weight may plausibly be from 0
+ * @param deviations prior standard deviation of each weight
  */
 export function createLinearModel(deviations: readonly number[]): LinearModel {
   let weights = deviations.map(() => 0);
@@ -34,27 +34,27 @@
     return dot(weights, terms);
   }
 
-  function addDrift(): void {
+  function addProcessNoise(): void {
     for (const [index, row] of covariance.entries()) {
       const prior = (deviations[index] ?? 0) ** 2;
-      row[index] = Math.min(prior, (row[index] ?? 0) + DRIFT * prior);
+      row[index] = Math.min(prior, (row[index] ?? 0) + PROCESS_NOISE_SHARE * prior);
     }
   }
 
   return {
     predict,
     observe(terms, value, deviation) {
-      const spread = covariance.map((row) => dot(row, terms));
-      const variance = dot(spread, terms) + deviation ** 2;
-      const surprise = value - predict(terms);
-      const gains = spread.map((entry) => entry / variance);
+      const projection = covariance.map((row) => dot(row, terms));
+      const variance = dot(projection, terms) + deviation ** 2;
+      const residual = value - predict(terms);
+      const gains = projection.map((entry) => entry / variance);
       weights = weights.map((weight, index) =>
-        Math.max(0, weight + (gains[index] ?? 0) * surprise),
+        Math.max(0, weight + (gains[index] ?? 0) * residual),
       );
       covariance = covariance.map((row, left) =>
-        row.map((entry, right) => entry - (gains[left] ?? 0) * (spread[right] ?? 0)),
+        row.map((entry, right) => entry - (gains[left] ?? 0) * (projection[right] ?? 0)),
       );
-      addDrift();
+      addProcessNoise();
     },
   };
 }
--- a/src/scheduling/policy.ts
+++ b/src/scheduling/policy.ts
@@ -1,42 +1,42 @@
 /**
- * The mechanisms by which requests are placed, each of which can be switched off to measure what it is
- * worth, and the figures that are no property of an engine, a mix or a fleet.
+ * Mechanisms of the scheduler, each of which can be disabled to measure its effect, and tuning
+ * constants that don't depend on the engines, the traffic or the fleet.
  */
 
 import { Err, Ok, type Result } from 'ts-results-es';
 
-/** Mechanisms that can be switched off. */
+/** Mechanisms that can be disabled. */
 export interface SchedulingMechanisms {
-  /** Engines that generate read prompts themselves where that is sooner. */
+  /** Decode engines do prefills themselves if that is sooner (local prefill). */
   directReads: boolean;
-  /** First attempts that will be late wait for what time is left. */
+  /** First attempts that will miss their objective may wait for spare capacity. */
   lateFirstAttempts: boolean;
-  /** Waits of late requests, and times to come back, follow the time that is left beside others. */
+  /** Waits of late requests and Retry-After take the spare capacity into account. */
   spareTime: boolean;
-  /** What waits is ordered by deadline; otherwise by arrival. */
+  /** Prefill queues are ordered by deadline; otherwise by arrival. */
   deadlineOrder: boolean;
-  /** The engine that reads is chosen by what it has cached; otherwise all seem to have nothing. */
+  /** The choice of the prefill engine takes cached parts into account. */
   cacheAffinity: boolean;
-  /** A scheduler asks engines that it does not know what they have cached. */
+  /** A scheduler loads the cached parts of engines that are new to it. */
   cacheLists: boolean;
-  /** Engines that generating does not need read prompts. */
+  /** Engines that are not needed for decoding do prefills. */
   demandSplit: boolean;
-  /** The margin of what counts as on time follows how far predictions were off. */
+  /** The margin of latency estimates follows their observed error. */
   learntMargin: boolean;
 }
 
 /**
- * Switches mechanisms off.
+ * Parses the mechanisms to disable.
  *
- * @param names names of mechanisms, joined by commas; empty for none
- * @returns the first name that is none, with those that there are
+ * @param names comma-separated names of mechanisms; empty for none
+ * @returns all mechanisms, or an error that contains the first unknown name and the known ones
  */
 export function parseDisabledMechanisms(names: string): Result<SchedulingMechanisms, string> {
   const mechanisms = { ...allMechanisms };
   for (const name of names.split(',')) {
     if (name === '') continue;
     if (!isMechanism(name)) {
-      return Err(`${name} is no mechanism; there are ${Object.keys(allMechanisms).join(', ')}`);
+      return Err(`unknown mechanism ${name}; known are ${Object.keys(allMechanisms).join(', ')}`);
     }
     mechanisms[name] = false;
   }
@@ -47,7 +47,7 @@
   return Object.hasOwn(allMechanisms, name);
 }
 
-/** Everything on. */
+/** All mechanisms enabled. */
 export const allMechanisms: SchedulingMechanisms = {
   directReads: true,
   lateFirstAttempts: true,
@@ -59,26 +59,23 @@
   learntMargin: true,
 };
 
-/** Reads that an engine was given are to take so long at most before it gets another one, in ms: some
- * ways there and back between gateways and their processors' turns, so that it never stands idle
- * while prompts wait, and no more, since what it was given cannot be reordered. */
-export const MAX_COMMITTED_MS = 25;
-/** What a millisecond of an engine's time weighs against a millisecond until the first event: what is
- * read in vain by one is missing for the next. */
+/** An engine gets the next prefill once its assigned ones take less than this, in ms: enough that it
+ * never idles while prompts wait, and short since assigned prefills can't be reordered. */
+export const COMMITTED_MS = 25;
+/** Weight of engine time relative to time to the first token in an engine's cost. */
 export const ENGINE_TIME_WEIGHT = 1;
-/** The same at most, where engines have no time left: prompts still leave an engine whose queue is
- * several reads longer than another's. */
+/** Upper bound of the weight as spare capacity decreases, so that prompts still move away from an
+ * engine whose queue is several prefills longer. */
 export const MAX_ENGINE_TIME_WEIGHT = 4;
-/** What reading in another availability zone weighs, in milliseconds until the first event: the bytes
- * that cross zones are charged. */
+/** Cost of a prefill in another availability zone, as milliseconds until the first event. */
 export const OTHER_ZONE_PENALTY_MS = 8;
-/** How many times the expected time must be left for a request that will be late: waits behind
- * punctual requests vary by as much as they last. */
+/** A late request is admitted only if its deadline allows this multiple of the estimated time, since
+ * the delay behind requests with priority varies widely. */
 export const LATE_SAFETY_FACTOR = 2;
-/** Part of the longest pause between events that reads at an engine may take from those that generate
- * there: the rest is left for their own steps and for what was not foreseen. */
-export const MAX_STALL_SHARE = 0.5;
-/** Part of a request's objective that the margin of predictions may take. Without a bound, a spell in
- * which first events come late by more than the objective leaves nothing on time; nothing is then
- * observed that would lower the margin, and everything is late from there on. */
+/** Share of the inter-token latency objective that local prefills may use; the rest is left for the
+ * decode steps. */
+export const STALL_SHARE = 0.5;
+/** Share of a request's objective that the margin may use. Without this bound, a period of large errors
+ * could make every request late; with none admitted as on time, no observation would reduce the
+ * margin again. */
 export const MAX_MARGIN_SHARE = 0.25;
--- a/src/scheduling/prefill-options.ts
+++ b/src/scheduling/prefill-options.ts
@@ -1,6 +1,6 @@
 /**
- * Where a prompt could be read, and what that would mean: by each engine that reads for others, and by
- * each that generates, where those that generate there already do not pause for too long.
+ * Lists the engines that could prefill a prompt, with the estimates that admission needs: prefill
+ * engines, and decode engines whose running streams would not stall for too long (local prefill).
  */
 import type { SendLimits } from '../backpressure/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
@@ -14,22 +14,23 @@
 import type { EngineStates } from './engine-states.js';
 import type { Work } from './latency-model.js';
 import type { LatencyModels } from './latency-models.js';
-import { OTHER_ZONE_PENALTY_MS, MAX_STALL_SHARE, type SchedulingMechanisms } from './policy.js';
+import { OTHER_ZONE_PENALTY_MS, STALL_SHARE, type SchedulingMechanisms } from './policy.js';
 
-/** What each read that an engine was given weighs while nothing is known of its pace, in ms: it only
- * has to be more than the distance, so that first reads are spread. */
-const PROBE_MS = 10 * OTHER_ZONE_PENALTY_MS;
-/** How many times as long a KV cache takes to another availability zone, as engines are described. */
-const OTHER_ZONE_FACTOR = 2;
+/** Penalty per assigned prefill while there are no latency samples, in ms. It has to exceed the zone
+ * penalty, so that the first prefills are spread over all engines. */
+const PROBE_PENALTY_MS = 10 * OTHER_ZONE_PENALTY_MS;
+/** How much slower a KV cache transfer is between availability zones. */
+const OTHER_ZONE_TRANSFER_FACTOR = 2;
 
-/** An engine at which a prompt could be read. */
+/** An engine that could prefill a prompt. */
 export interface PrefillOption extends PrefillEstimate {
   server: RegisteredServer;
   engine: EngineModel;
+  /** The decode engine does the prefill itself. */
   isLocal: boolean;
 }
 
-/** What listing options goes by. */
+/** Dependencies of the options. */
 export interface PrefillOptionsParts {
   clock: Clock;
   latencyModels: LatencyModels;
@@ -40,92 +41,95 @@
   limits: SendLimits;
 }
 
-/** Lists where prompts could be read. */
+/** Options for prefills. */
 export interface PrefillOptions {
   /**
-   * Lists where a request's prompt could be read.
+   * Lists the engines that could prefill a request's prompt.
    *
-   * @param entry the request
-   * @param generating engines that may generate
-   * @param restMs time from the end of a read to the first event, in milliseconds
+   * @param tracked the request
+   * @param decodeCandidates decode engines that the request may use
+   * @param handoffMs time from the end of the prefill to the first event, in milliseconds
    */
-  list(entry: TrackedJob, generating: readonly RegisteredServer[], restMs: number): PrefillOption[];
-  /** Time for which an engine that generates is taken by reads and transfers, in milliseconds. */
+  list(
+    tracked: TrackedJob,
+    decodeCandidates: readonly RegisteredServer[],
+    handoffMs: number,
+  ): PrefillOption[];
+  /** Time until an engine has finished its prefills and transfers, in milliseconds. */
   busyMs: (id: string) => number;
-  /** Time from the end of a read to the first event, at the engine that could give it first, in ms. */
-  estimateHandoffMs: (job: Job, generating: readonly RegisteredServer[]) => number;
+  /** Time from the end of the prefill to the first event at the least busy decode engine, in
+   * milliseconds. */
+  estimateHandoffMs: (job: Job, decodeCandidates: readonly RegisteredServer[]) => number;
 }
 
 /**
- * Creates the list of no request.
+ * Creates the options.
  *
- * @param parts the engines and what is known of them
+ * @param parts the engines with their estimates
  */
 export function createPrefillOptions(parts: PrefillOptionsParts): PrefillOptions {
-  const {
-    clock,
-    latencyModels: paces,
-    mechanisms,
-    candidates,
-    engines,
-    decodeEngines: generators,
-    limits,
-  } = parts;
+  const { clock, latencyModels, mechanisms, candidates, engines, decodeEngines, limits } = parts;
 
   function list(
-    entry: TrackedJob,
-    generating: readonly RegisteredServer[],
-    restMs: number,
+    tracked: TrackedJob,
+    decodeCandidates: readonly RegisteredServer[],
+    handoffMs: number,
   ): PrefillOption[] {
-    const { job } = entry;
+    const { job } = tracked;
     const options: PrefillOption[] = [];
     for (const server of candidates.list(job, 'prefill')) {
-      if (generating.length > 0) options.push(weighReader(entry, server, restMs));
+      if (decodeCandidates.length > 0) options.push(estimateRemote(tracked, server, handoffMs));
     }
-    const mayReadDirectly = mechanisms.directReads && paces.hasSamples();
-    if (!mayReadDirectly && options.length > 0) return options;
-    for (const server of generating) {
-      if (generators.isFull(server, job.rank)) continue;
-      const option = weighDirect(entry, server);
-      if (!wouldPause(option, job)) options.push(option);
+    const mayPrefillLocally = mechanisms.directReads && latencyModels.hasSamples();
+    if (!mayPrefillLocally && options.length > 0) return options;
+    for (const server of decodeCandidates) {
+      if (decodeEngines.isFull(server, job.rank)) continue;
+      const option = estimateLocal(tracked, server);
+      if (!wouldStallStreams(option, job)) options.push(option);
     }
     return options;
   }
 
-  function weighReader(entry: TrackedJob, server: RegisteredServer, restMs: number): PrefillOption {
+  function estimateRemote(
+    tracked: TrackedJob,
+    server: RegisteredServer,
+    handoffMs: number,
+  ): PrefillOption {
     const engine = engines.model(server.id);
     const queue = engines.queue(server.id);
     const startsInMs = engine.prefills.remainingMs(clock.now());
-    const readMs = engine.estimatePrefillMs('prefill', entry.job.prompt);
-    const newcomer = { ...entry, isLate: false, expectMs: () => readMs };
-    const distanceMs = server.zone === entry.job.zone ? 0 : OTHER_ZONE_PENALTY_MS;
-    // while nothing is known, what was given counts instead of what it takes
+    const prefillMs = engine.estimatePrefillMs('prefill', tracked.job.prompt);
+    const newcomer = { ...tracked, isLate: false, prefillMs: () => prefillMs };
+    const zonePenaltyMs = server.zone === tracked.job.zone ? 0 : OTHER_ZONE_PENALTY_MS;
     const untilRoomMs = limits.msUntilRoom(server.id, queue.count());
-    const probeMs = paces.hasSamples() ? 0 : PROBE_MS * (engine.prefills.count() + queue.count());
+    // without samples the estimates are 0, so the number of prefills stands in for their duration
+    const probePenaltyMs = latencyModels.hasSamples()
+      ? 0
+      : PROBE_PENALTY_MS * (engine.prefills.count() + queue.count());
     return {
       server,
       engine,
       isLocal: false,
       queueDelayMs: Math.max(untilRoomMs, startsInMs + queue.workAheadMs(newcomer)),
-      prefillMs: readMs,
-      scoredPrefillMs: mechanisms.cacheAffinity ? readMs : 0,
-      handoffMs: restMs,
-      penaltyMs: distanceMs + probeMs,
+      prefillMs,
+      scoredPrefillMs: mechanisms.cacheAffinity ? prefillMs : 0,
+      handoffMs,
+      penaltyMs: zonePenaltyMs + probePenaltyMs,
       delaysOthers: queue.wouldDelay(newcomer, startsInMs, clock.now()),
       lateBacklogMs: queue.lateWorkMs(),
     };
   }
 
-  function weighDirect({ job }: TrackedJob, server: RegisteredServer): PrefillOption {
+  function estimateLocal({ job }: TrackedJob, server: RegisteredServer): PrefillOption {
     const engine = engines.model(server.id);
-    const readMs = engine.estimatePrefillMs('decode', job.prompt);
+    const prefillMs = engine.estimatePrefillMs('decode', job.prompt);
     return {
       server,
       engine,
       isLocal: true,
       queueDelayMs: engine.prefills.remainingMs(clock.now()),
-      prefillMs: readMs,
-      scoredPrefillMs: mechanisms.cacheAffinity ? readMs : 0,
+      prefillMs,
+      scoredPrefillMs: mechanisms.cacheAffinity ? prefillMs : 0,
       handoffMs: 0,
       penaltyMs: server.zone === job.zone ? 0 : OTHER_ZONE_PENALTY_MS,
       delaysOthers: false,
@@ -134,38 +138,37 @@
   }
 
   /**
-   * Whether reading a prompt between the tokens of others would hold their next events up for too
-   * long. One event may stand for many tokens, and each of their steps takes a chunk of the prompt:
-   * unbounded, 430 of 1,039 short answers of a day with lost engines were late.
+   * Whether a local prefill would violate the inter-token latency objective of the engine's running
+   * streams. The prefill is chunked into their decode steps, and one event may contain many tokens,
+   * so that its delay can be as long as the whole prefill.
    */
-  function wouldPause(
-    { server, engine, prefillMs: readMs }: PrefillOption,
+  function wouldStallStreams(
+    { server, engine, prefillMs }: PrefillOption,
     { pauseMs }: Job,
   ): boolean {
-    if (generators.running(server.id) === 0) return false;
-    return engine.recentLocalPrefillMs(clock.now(), pauseMs) + readMs > MAX_STALL_SHARE * pauseMs;
+    if (decodeEngines.running(server.id) === 0) return false;
+    return engine.recentLocalPrefillMs(clock.now(), pauseMs) + prefillMs > STALL_SHARE * pauseMs;
   }
 
-  /** Time for which an engine that generates is taken by reads and transfers. */
   function busyMs(id: string): number {
     const engine = engines.model(id);
     const now = clock.now();
     return engine.prefills.remainingMs(now) + engine.transfers.remainingMs(now);
   }
 
-  function expectRestMs(job: Job, generating: readonly RegisteredServer[]): number {
-    const transferMs = paces.transfer.estimateMs(resolveTransferWork(job, false));
+  function estimateHandoffMs(job: Job, decodeCandidates: readonly RegisteredServer[]): number {
+    const transferMs = latencyModels.transfer.estimateMs(resolveTransferWork(job, false));
     let leastMs = Number.POSITIVE_INFINITY;
-    for (const { id } of generating) {
+    for (const { id } of decodeCandidates) {
       leastMs = Math.min(leastMs, busyMs(id));
     }
     return Number.isFinite(leastMs) ? leastMs + transferMs : transferMs;
   }
 
-  return { list, busyMs, estimateHandoffMs: expectRestMs };
+  return { list, busyMs, estimateHandoffMs };
 }
 
-/** What moving a prompt to the engine that generates takes. */
+/** The work of transferring a prompt's KV cache to the decode engine. */
 export function resolveTransferWork({ prompt }: Job, isOtherZone: boolean): Work {
-  return { tokens: prompt.tokens * (isOtherZone ? OTHER_ZONE_FACTOR : 1), pairs: 0 };
+  return { tokens: prompt.tokens * (isOtherZone ? OTHER_ZONE_TRANSFER_FACTOR : 1), pairs: 0 };
 }
--- a/src/scheduling/prefill-queue.ts
+++ b/src/scheduling/prefill-queue.ts
@@ -1,20 +1,17 @@
 /**
- * Prompts that wait for one engine to read them. Those that can be on time come first, the one
- * with the earliest deadline before all others; those that will be late use what time is left.
- *
- * Answers: bursts in which long and short prompts with different objectives wait for the same engine. With half
- * of the readers gone, 53 of 100 long prompts are on time in a replayed load, in place of 50 by arrival.
+ * Prompts that wait for one engine's prefill. Those that can meet their objective come first, by
+ * earliest deadline; late ones use the engine when it is idle.
  */
 
-/** A prompt that waits. */
+/** A waiting prompt. */
 export interface WaitingPrompt {
-  /** When it has to be read to be on time, or, if it is late, to be of any use; in ms. */
+  /** When the prefill is due to meet the objective, or, if the request is late, its deadline; in ms. */
   dueAt: number;
-  /** It waits although its first event will be late. */
+  /** The request waits although it will miss its objective. */
   isLate: boolean;
   /** Rank of its route; 0 is the most urgent. */
   rank: number;
-  /** Time that reading it will take, in milliseconds. */
+  /** Estimated prefill time, in milliseconds. */
   prefillMs(): number;
 }
 
@@ -22,21 +19,21 @@
 export interface PrefillQueue<Item extends WaitingPrompt> {
   add(item: Item): void;
   remove(item: Item): void;
-  /** The next one that can be on time; it is taken out. */
+  /** Removes and returns the next prompt that can meet its objective. */
   takePunctual(): Item | undefined;
-  /** The next one that will be late; it is taken out. */
+  /** Removes and returns the next late prompt. */
   takeLate(): Item | undefined;
   count(): number;
-  /** Time that those take which come before a new one, in milliseconds. */
+  /** Prefill time of the prompts ahead of a new one, in milliseconds. */
   workAheadMs(newcomer: WaitingPrompt): number;
-  /** Time that all those take that will be late, in milliseconds. */
+  /** Prefill time of all late prompts, in milliseconds. */
   lateWorkMs(): number;
   /**
-   * Whether a new prompt would make another one late that is as urgent or more so.
+   * Whether a new prompt would make a waiting one of the same or a more urgent rank miss its objective.
    *
    * @param newcomer the new prompt
-   * @param startsInMs time until the first of the queue starts
-   * @param now the present time
+   * @param startsInMs time until the first prompt in the queue starts, in milliseconds
+   * @param now the current time, in milliseconds
    */
   wouldDelay(newcomer: WaitingPrompt, startsInMs: number, now: number): boolean;
 }
@@ -48,15 +45,15 @@
 
   return {
     add(item) {
-      const line = item.isLate ? late : punctual;
-      let index = line.length;
-      while (index > 0 && isBefore(item, line[index - 1])) index -= 1;
-      line.splice(index, 0, item);
+      const items = item.isLate ? late : punctual;
+      let index = items.length;
+      while (index > 0 && isBefore(item, items[index - 1])) index -= 1;
+      items.splice(index, 0, item);
     },
     remove(item) {
-      const line = item.isLate ? late : punctual;
-      const index = line.indexOf(item);
-      if (index >= 0) line.splice(index, 1);
+      const items = item.isLate ? late : punctual;
+      const index = items.indexOf(item);
+      if (index >= 0) items.splice(index, 1);
     },
     takePunctual: () => punctual.shift(),
     takeLate: () => late.shift(),
@@ -76,11 +73,11 @@
     },
     wouldDelay(newcomer, startsInMs, now) {
       let endsAt = now + startsInMs;
-      const ownMs = newcomer.prefillMs();
+      const newcomerMs = newcomer.prefillMs();
       for (const item of punctual) {
         endsAt += item.prefillMs();
         if (!isBefore(newcomer, item) || item.rank > newcomer.rank) continue;
-        if (endsAt + ownMs > item.dueAt && endsAt <= item.dueAt) return true;
+        if (endsAt + newcomerMs > item.dueAt && endsAt <= item.dueAt) return true;
       }
       return false;
     },
@@ -88,8 +85,8 @@
 }
 
 /**
- * Whether a prompt comes before another. The deadline decides, not the latest time to start: that
- * would put the longest prompts first, which hold all others up.
+ * Orders by deadline, not by slack: ordering by the latest possible start would put the longest
+ * prompts first and delay all others.
  */
 function isBefore(item: WaitingPrompt, other: WaitingPrompt | undefined): boolean {
   return other !== undefined && item.dueAt < other.dueAt;
--- a/src/scheduling/prompt.ts
+++ b/src/scheduling/prompt.ts
@@ -1,22 +1,21 @@
 /**
- * Prompts as schedulers see them: a chain of parts with token counts. Requests share parts; an
- * engine that still holds a part, and every part before it, need not read it again.
+ * Prompts as schedulers see them: a sequence of parts with token counts. Requests share parts; an
+ * engine that has a part and all parts before it cached does not prefill them again.
  */
 
-/** One part of a prompt. */
+/** A part of a prompt. */
 export interface PromptPart {
-  /** The same in every prompt that has this part. */
+  /** The same in all prompts that contain this part. */
   id: string;
   tokens: number;
 }
 
-/** The prompt of one request. */
+/** The prompt of a request. */
 export interface Prompt {
   model: string;
-  /** In order; the last one belongs to the request itself or to its session. */
+  /** In order; the last one belongs to the request or to its session. */
   parts: readonly PromptPart[];
   /** Tokens of all parts together. */
   tokens: number;
-  /** Most tokens that may be generated. */
   maxOutputTokens: number;
 }
--- a/src/scheduling/recent-load.ts
+++ b/src/scheduling/recent-load.ts
@@ -1,55 +1,51 @@
 /**
- * How much work engines were given lately, in engines that it keeps busy, and what part of their time
- * that leaves. Requests that will be late are read in that time only, so it says how long they will
- * wait, and a caller that is turned away, when to come back.
- *
- * Answers: overload that lasts longer than callers wait. By the queues alone late requests seemed to be
- * served soon, and were held until their callers left: 58 of 1,000 in a replayed overload, 1 with this.
+ * Load of engines as an exponentially weighted average of the work assigned to them, and the spare
+ * capacity that it leaves. Late requests run on spare capacity, so it determines how long they wait
+ * and when a declined caller should retry.
  */
 
-/** Time over which work is averaged, in ms: a few reads of the longest kind, and shorter than the
- * periods in which the mix of requests swings. */
-const MEMORY_MS = 1_000;
-/** Least part that is reckoned with: below it, waits are endless for any caller. */
-const LEAST_SPARE_SHARE = 0.02;
+/** Time constant of the average, in ms. */
+const AVERAGING_MS = 1_000;
+/** Lower bound of the spare capacity, which keeps estimated waits finite. */
+const MIN_SPARE_CAPACITY = 0.02;
 
-/** Work of the latest time. */
+/** Recently assigned work. */
 export interface RecentLoad {
-  /** An engine was given work, in milliseconds of its time. */
+  /** Records assigned work, in milliseconds of engine time. */
   record(workMs: number, now: number): void;
-  /** Engines that the work of the latest time keeps busy. */
+  /** Number of engines that the recent work keeps busy. */
   busyEngines(now: number): number;
 }
 
-/** Creates a record of no work. */
+/** Creates a record without work. */
 export function createRecentLoad(): RecentLoad {
-  /** Work of the latest time, each piece fading with its age. */
+  /** Recent work, decayed by age. */
   let recentMs = 0;
   let at = 0;
 
-  function fade(now: number): void {
-    recentMs *= Math.exp((at - now) / MEMORY_MS);
+  function decay(now: number): void {
+    recentMs *= Math.exp((at - now) / AVERAGING_MS);
     at = now;
   }
 
   return {
     record(workMs, now) {
-      fade(now);
+      decay(now);
       recentMs += workMs;
     },
     busyEngines(now) {
-      fade(now);
-      return recentMs / MEMORY_MS;
+      decay(now);
+      return recentMs / AVERAGING_MS;
     },
   };
 }
 
 /**
- * Part of their time that engines have left, above 0 and up to 1.
+ * Spare capacity as a share of the engines' time, above 0 and at most 1.
  *
- * @param busy how many of them are kept busy
- * @param engines how many there are
+ * @param busy number of busy engines
+ * @param engines number of all engines
  */
 export function resolveSpareCapacity(busy: number, engines: number): number {
-  return Math.max(LEAST_SPARE_SHARE, 1 - busy / Math.max(1, engines));
+  return Math.max(MIN_SPARE_CAPACITY, 1 - busy / Math.max(1, engines));
 }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -1,11 +1,11 @@
 /**
- * Places the requests of one service on its model engines. It sees every request of the service, so
- * it knows what each engine works on, keeps the queues itself, and turns a request away at once
- * when it cannot be served in time.
+ * Places the requests of one service on its engines. One scheduler sees all requests of a service, so
+ * it models the work of each engine, holds the queues, and sheds requests that cannot be served in
+ * time.
  *
- * A prompt is read by an engine that reads for others, or by the one that generates where that is
- * better (`admission.ts`). The engine that generates is chosen when reading starts. Everything here is
- * soft state: a scheduler that starts anew knows the fleet within a second, since reads are short.
+ * A prompt is prefilled by a prefill engine, or by the decode engine if that is better
+ * (`admission.ts`). The decode engine is chosen when the prefill starts. All state is soft: a new
+ * scheduler rebuilds it from the requests that follow.
  */
 import type { SendLimits } from '../backpressure/index.js';
 import type { Log } from '../events/index.js';
@@ -30,7 +30,7 @@
 import { createPrefillOptions, resolveTransferWork } from './prefill-options.js';
 import type { LatencyModels } from './latency-models.js';
 import {
-  MAX_COMMITTED_MS,
+  COMMITTED_MS,
   LATE_SAFETY_FACTOR,
   MAX_MARGIN_SHARE,
   type SchedulingMechanisms,
@@ -38,115 +38,109 @@
 import type { PrefillQueue } from './prefill-queue.js';
 import { createRecentLoad, resolveSpareCapacity } from './recent-load.js';
 
-/** What a scheduler needs. */
+/** Dependencies of a scheduler. */
 export interface SchedulerParts {
   clock: Clock;
   log: Log;
   mechanisms: SchedulingMechanisms;
-  /** What is known of the service's engines. */
+  /** Latency models of the service's engines. */
   latencyModels: LatencyModels;
-  /** Engines of the service that take requests now. */
+  /** Engines of the service that accept requests now. */
   engines(): readonly RegisteredServer[];
-  /** Tokens that the cache of one engine holds. */
+  /** Capacity of one engine's cache in tokens. */
   cacheTokens(): number;
   caches: CacheInventory;
-  /** Room within the limits that engines have named. */
+  /** Rate limits that engines have asked for. */
   limits: SendLimits;
 }
 
 /** Places the requests of one service. */
 export interface Scheduler {
-  /** Asks for engines; `decided` is called once, at once or when an engine is free. */
-  submit(job: Job, decided: (decision: Decision) => void): void;
-  /** Counts a request that another scheduler, now lost, has placed. */
+  /** Requests engines; `onDecision` is called once, synchronously or when an engine is free. */
+  submit(job: Job, onDecision: (decision: Decision) => void): void;
+  /** Takes over a request that was placed by a scheduler that is lost. */
   adopt(job: Job, placement: EnginePlacement): void;
-  /** The prompt of a placed request was read. */
   prefillCompleted(job: string): void;
-  /** The first event of a placed request has come. */
   firstTokenReceived(job: string): void;
   /**
-   * A request has ended, however; one that waits is forgotten.
+   * Ends a request, with or without an answer; one that waits is removed from its queue.
    *
-   * @param outcome what became of it at the engine that had it last, where that says something of it
+   * @param outcome outcome at the last engine, if it is relevant to that engine's health
    */
   finished(job: string, outcome?: HealthOutcome): void;
-  /** An engine is gone for good. */
+  /** Removes an engine that will not return. */
   forget(engine: string): void;
-  /**
-   * Work of generating, in engines that it would keep busy: its fading peak; `undefined`
-   * while too little was seen.
-   */
+  /** Decaying peak of the decode load, in engines; `undefined` while there are too few observations. */
   peakDecodeLoad(): number | undefined;
   /** Requests that were submitted and have not ended. */
   size(): number;
 }
 
-/** A request finds another engine at most so often while it waits: engines that all fail in turn are
- * not worth more of its caller's time. */
-const MAX_MOVES = 5;
-/** Time after which a caller is told to come back where no engine takes requests, in ms: the order of
- * the time in which a lost engine is noticed. */
+/** How often a waiting request is rerouted because its engine became unavailable; after that it is
+ * sent to its engine anyway, which bounds the loop when all engines are unhealthy. */
+const MAX_REROUTES = 5;
+/** Retry-After when no engine accepts requests, in ms. */
 const NO_ENGINE_RETRY_MS = 200;
 
 /**
- * Creates a scheduler that knows of no request.
+ * Creates a scheduler without requests.
  *
- * @param parts the engines and the terms
+ * @param parts the engines with their latency models and limits
  */
 export function createScheduler(parts: SchedulerParts): Scheduler {
-  const { clock, log, latencyModels: paces, mechanisms, limits } = parts;
-  const entries = new Map<string, TrackedJob>();
-  /** Engines that are to get the next read once they have nearly done the present one. */
-  const wakeUps = new Map<string, Timer>();
-  const generators = createDecodeEngines();
-  const watch = createEngineMonitor(clock, log);
+  const { clock, log, latencyModels, mechanisms, limits } = parts;
+  const jobs = new Map<string, TrackedJob>();
+  /** By engine, the timer that starts the next prefill shortly before the current one ends. */
+  const prefillTimers = new Map<string, Timer>();
+  const decodeEngines = createDecodeEngines();
+  const monitor = createEngineMonitor(clock, log);
   const margin = createLatencyMargin();
-  /** Reads of requests that can be on time. */
-  const punctualWork = createRecentLoad();
-  const generatingLoad = createDecodeLoad();
+  /** Prefills of requests that can meet their objective. */
+  const punctualLoad = createRecentLoad();
+  const decodeLoad = createDecodeLoad();
   const candidates = createCandidates({
     engines: () => parts.engines(),
-    monitor: watch,
+    monitor,
     limits,
-    requestCount: inUse,
+    requestCount,
   });
   const engines = createEngineStates({
     log,
-    latencyModels: paces,
+    latencyModels,
     cacheTokens: () => parts.cacheTokens(),
     caches: mechanisms.cacheLists ? parts.caches : undefined,
     find: (id) => candidates.find(id),
   });
   const options = createPrefillOptions({
     clock,
-    latencyModels: paces,
+    latencyModels,
     mechanisms,
     candidates,
     engines,
-    decodeEngines: generators,
+    decodeEngines,
     limits,
   });
 
-  /** Requests that an engine was given or that wait for it. */
-  function inUse(id: string): number {
-    return generators.running(id) + engines.requestCount(id);
+  /** Requests that run on an engine or wait for it. */
+  function requestCount(id: string): number {
+    return decodeEngines.running(id) + engines.requestCount(id);
   }
 
-  function submit(job: Job, decided: (decision: Decision) => void): void {
-    const entry = createTrackedJob(job, clock.now(), decided);
-    entries.set(job.id, entry);
-    if (job.isRead) placeAtGenerator(entry);
-    else route(entry);
+  function submit(job: Job, onDecision: (decision: Decision) => void): void {
+    const tracked = createTrackedJob(job, clock.now(), onDecision);
+    jobs.set(job.id, tracked);
+    if (job.isRead) placeForDecode(tracked);
+    else route(tracked);
   }
 
-  /** Part of their time that the engines that read have left beside what is on time. */
-  function spareShare(): number {
+  /** Share of the prefill engines' time that requests within their objective leave. */
+  function spareCapacity(): number {
     if (!mechanisms.spareTime) return 1;
-    let reading = 0;
+    let prefillEngines = 0;
     for (const { role } of parts.engines()) {
-      if (role === 'prefill') reading += 1;
+      if (role === 'prefill') prefillEngines += 1;
     }
-    return resolveSpareCapacity(punctualWork.busyEngines(clock.now()), reading);
+    return resolveSpareCapacity(punctualLoad.busyEngines(clock.now()), prefillEngines);
   }
 
   function marginMs(job: Job): number {
@@ -155,332 +149,333 @@
       : 0;
   }
 
-  /** Finds engines for a request, or declines it. */
-  function route(entry: TrackedJob): void {
-    const { job } = entry;
-    const generating = candidates.list(job, 'decode');
-    const restMs = options.estimateHandoffMs(job, generating);
-    const byMs = mechanisms.deadlineOrder ? job.aimLeftMs - restMs - marginMs(job) : 0;
-    entry.dueAt = entry.submittedAt + byMs;
-    const choices = options.list(entry, generating, restMs);
-    if (choices.length === 0) {
-      declineWithoutEngine(entry);
+  /** Places or queues a request, or declines it. */
+  function route(tracked: TrackedJob): void {
+    const { job } = tracked;
+    const decodeCandidates = candidates.list(job, 'decode');
+    const handoffMs = options.estimateHandoffMs(job, decodeCandidates);
+    const prefillDueMs = mechanisms.deadlineOrder ? job.aimLeftMs - handoffMs - marginMs(job) : 0;
+    tracked.dueAt = tracked.submittedAt + prefillDueMs;
+    const prefillOptions = options.list(tracked, decodeCandidates, handoffMs);
+    if (prefillOptions.length === 0) {
+      declineWithoutEngine(tracked);
       return;
     }
-    const spentMs = clock.now() - entry.submittedAt;
-    const spare = spareShare();
-    const admission = resolveAdmission(choices, {
-      objectiveLeftMs: job.aimLeftMs - spentMs,
-      timeLeftMs: job.timeLeftMs - spentMs,
+    const elapsedMs = clock.now() - tracked.submittedAt;
+    const spare = spareCapacity();
+    const admission = resolveAdmission(prefillOptions, {
+      objectiveLeftMs: job.aimLeftMs - elapsedMs,
+      timeLeftMs: job.timeLeftMs - elapsedMs,
       marginMs: marginMs(job),
       mayBeLate: job.isReturn || mechanisms.lateFirstAttempts,
       spareCapacity: spare,
     });
     if (admission.kind === 'declined') {
-      decline(entry, 'cannot-be-on-time', admission.retryAfterMs, admission.backlogMs);
+      decline(tracked, 'cannot-be-on-time', admission.retryAfterMs, admission.backlogMs);
       return;
     }
     const { option } = admission;
-    entry.expectedFirstTokenAt = clock.now() + resolveFirstTokenMs(option);
+    tracked.expectedFirstTokenAt = clock.now() + resolveFirstTokenMs(option);
     if (admission.kind === 'late') {
-      makeLate(entry);
-      entry.expectedFirstTokenAt = clock.now() + resolveLateFirstTokenMs(option, spare);
+      markLate(tracked);
+      tracked.expectedFirstTokenAt = clock.now() + resolveLateFirstTokenMs(option, spare);
     }
-    if (option.isLocal) placeDirectly(entry, option.server);
-    else enqueue(entry, option.engine);
+    if (option.isLocal) placeLocally(tracked, option.server);
+    else enqueue(tracked, option.engine);
   }
 
-  function makeLate(entry: TrackedJob): void {
-    entry.isLate = true;
-    entry.dueAt = entry.submittedAt + entry.job.timeLeftMs;
+  function markLate(tracked: TrackedJob): void {
+    tracked.isLate = true;
+    tracked.dueAt = tracked.submittedAt + tracked.job.timeLeftMs;
   }
 
-  function enqueue(entry: TrackedJob, engine: EngineModel): void {
-    entry.engine = engine;
-    entry.prefillEstimateMs = engine.estimatePrefillMs('prefill', entry.job.prompt);
-    engines.queue(engine.id).add(entry);
-    if (entry.isLate) expireInTime(entry);
-    advance(engine);
+  function enqueue(tracked: TrackedJob, engine: EngineModel): void {
+    tracked.engine = engine;
+    tracked.prefillEstimateMs = engine.estimatePrefillMs('prefill', tracked.job.prompt);
+    engines.queue(engine.id).add(tracked);
+    if (tracked.isLate) scheduleExpiry(tracked);
+    startPrefills(engine);
   }
 
   /**
-   * A late request is turned away once it could no longer end within its deadline, or has waited much
-   * longer than it was expected to: spare time does not come then, and its caller should know.
+   * Declines a late request once it can no longer meet its deadline, or has waited much longer than
+   * estimated, so that its caller is not kept waiting for capacity that does not become available.
    */
-  function expireInTime(entry: TrackedJob): void {
-    const predictedMs = LATE_SAFETY_FACTOR * (entry.expectedFirstTokenAt - clock.now());
-    const waitMs = Math.min(latestStartMs(entry), Math.max(0, predictedMs));
-    entry.expiryTimer = clock.after(Math.max(0, waitMs), () => {
-      if (entry.stage !== 'waiting' || !entries.has(entry.job.id)) return;
-      leaveQueue(entry);
-      turnAway(entry);
+  function scheduleExpiry(tracked: TrackedJob): void {
+    const maxWaitMs = LATE_SAFETY_FACTOR * (tracked.expectedFirstTokenAt - clock.now());
+    const waitMs = Math.min(msUntilLatestStart(tracked), Math.max(0, maxWaitMs));
+    tracked.expiryTimer = clock.after(Math.max(0, waitMs), () => {
+      if (tracked.stage !== 'waiting' || !jobs.has(tracked.job.id)) return;
+      leaveQueue(tracked);
+      declineExpired(tracked);
     });
   }
 
-  /** Time until a request has to start to be read, or it cannot end within its deadline. */
-  function latestStartMs(entry: TrackedJob): number {
-    const leftMs = entry.job.timeLeftMs - (clock.now() - entry.submittedAt);
-    return leftMs - LATE_END_FACTOR * entry.prefillMs() - marginMs(entry.job);
+  /** Time until the prefill has to start for the request to meet its deadline. */
+  function msUntilLatestStart(tracked: TrackedJob): number {
+    const leftMs = tracked.job.timeLeftMs - (clock.now() - tracked.submittedAt);
+    return leftMs - DEADLINE_PREFILL_FACTOR * tracked.prefillMs() - marginMs(tracked.job);
   }
 
-  /** Declines a request that waited until it could no longer end within its deadline. */
-  function turnAway(entry: TrackedJob): void {
-    const backlogMs = entry.engine?.prefills.remainingMs(clock.now()) ?? 0;
-    decline(entry, 'cannot-be-on-time', NO_ENGINE_RETRY_MS, backlogMs);
+  function declineExpired(tracked: TrackedJob): void {
+    const backlogMs = tracked.engine?.prefills.remainingMs(clock.now()) ?? 0;
+    decline(tracked, 'cannot-be-on-time', NO_ENGINE_RETRY_MS, backlogMs);
   }
 
-  /** Where limits leave no room, each caller is told another time, so that they don't come back together. */
-  function declineWithoutEngine(entry: TrackedJob): void {
-    const limited = candidates.findSoonestAvailable(entry.job);
+  /** Declines with a Retry-After; with rate limits, each caller gets a different one. */
+  function declineWithoutEngine(tracked: TrackedJob): void {
+    const limited = candidates.findSoonestAvailable(tracked.job);
     if (limited === undefined) {
-      decline(entry, 'no-engine', NO_ENGINE_RETRY_MS, 0);
+      decline(tracked, 'no-engine', NO_ENGINE_RETRY_MS, 0);
       return;
     }
-    const leftMs = entry.job.timeLeftMs - (clock.now() - entry.submittedAt);
+    const leftMs = tracked.job.timeLeftMs - (clock.now() - tracked.submittedAt);
     const untilRoomMs = Math.max(NO_ENGINE_RETRY_MS, limits.msUntilReturn(limited));
-    decline(entry, 'no-engine', resolveRetryAfterMs(leftMs, untilRoomMs), 0);
+    decline(tracked, 'no-engine', resolveRetryAfterMs(leftMs, untilRoomMs), 0);
   }
 
   function decline(
-    entry: TrackedJob,
+    tracked: TrackedJob,
     reason: DeclineReason,
     retryAfterMs: number,
     backlogMs: number,
   ): void {
-    entry.expiryTimer?.cancel();
-    entries.delete(entry.job.id);
-    entry.onDecision({ kind: 'declined', reason, retryAfterMs, backlogMs });
+    tracked.expiryTimer?.cancel();
+    jobs.delete(tracked.job.id);
+    tracked.onDecision({ kind: 'declined', reason, retryAfterMs, backlogMs });
   }
 
-  /** Starts reads at an engine while it is to get some. */
-  function advance(engine: EngineModel): void {
+  /** Starts queued prefills while the engine can take more. */
+  function startPrefills(engine: EngineModel): void {
     const queue = engines.queue(engine.id);
     while (hasRoom(engine)) {
-      const entry = queue.takePunctual() ?? takeLate(engine, queue);
-      if (entry === undefined) return;
-      entry.prefillEstimateMs = engine.estimatePrefillMs('prefill', entry.job.prompt);
-      if (isTooLate(entry)) postpone(entry, engine);
-      else if (candidates.mayPrefill(engine.id, entry.job) || entry.reroutes >= MAX_MOVES)
-        startRead(entry, engine);
-      else leaveFor(entry);
+      const tracked = queue.takePunctual() ?? takeLate(engine, queue);
+      if (tracked === undefined) return;
+      tracked.prefillEstimateMs = engine.estimatePrefillMs('prefill', tracked.job.prompt);
+      if (isTooLate(tracked)) postpone(tracked, engine);
+      else if (candidates.mayPrefill(engine.id, tracked.job) || tracked.reroutes >= MAX_REROUTES)
+        startPrefill(tracked, engine);
+      else reroute(tracked);
     }
-    if (queue.count() > 0) wakeUp(engine);
+    if (queue.count() > 0) scheduleNextPrefill(engine);
   }
 
-  /** What is late starts only at an engine that has nothing to do, since reads are not interrupted. */
+  /** Late requests start only on an idle engine, since prefills are not interrupted. */
   function takeLate(engine: EngineModel, queue: PrefillQueue<TrackedJob>): TrackedJob | undefined {
     return engine.prefills.count() === 0 ? queue.takeLate() : undefined;
   }
 
-  /** Whether an engine is to get another read now. While paces are unknown, one read probes. */
+  /** Whether an engine can take another prefill; without latency samples, one at a time. */
   function hasRoom(engine: EngineModel): boolean {
     if (limits.msUntilRoom(engine.id) > 0) return false;
     if (engine.prefills.count() === 0) return true;
-    return paces.hasSamples() && engine.prefills.remainingMs(clock.now()) < MAX_COMMITTED_MS;
+    return latencyModels.hasSamples() && engine.prefills.remainingMs(clock.now()) < COMMITTED_MS;
   }
 
-  /** Looks again once the present read has nearly ended, and the engine's limit leaves room. */
-  function wakeUp(engine: EngineModel): void {
-    wakeUps.get(engine.id)?.cancel();
+  /** Starts prefills again when the current one has nearly ended and the rate limit leaves room. */
+  function scheduleNextPrefill(engine: EngineModel): void {
+    prefillTimers.get(engine.id)?.cancel();
     const untilRoomMs = limits.msUntilRoom(engine.id);
-    const untilReadMs = paces.hasSamples()
-      ? engine.prefills.remainingMs(clock.now()) - MAX_COMMITTED_MS
+    const untilPrefillEndMs = latencyModels.hasSamples()
+      ? engine.prefills.remainingMs(clock.now()) - COMMITTED_MS
       : Number.NEGATIVE_INFINITY;
-    const delayMs = Math.max(untilRoomMs, untilReadMs);
-    if (delayMs < 0 || (delayMs === 0 && untilReadMs < 0)) return;
+    const delayMs = Math.max(untilRoomMs, untilPrefillEndMs);
+    if (delayMs < 0 || (delayMs === 0 && untilPrefillEndMs < 0)) return;
     const timer = clock.after(delayMs + 1, () => {
-      advance(engine);
+      startPrefills(engine);
     });
-    wakeUps.set(engine.id, timer);
+    prefillTimers.set(engine.id, timer);
   }
 
-  function isTooLate(entry: TrackedJob): boolean {
-    if (entry.isLate) return latestStartMs(entry) < 0;
-    return clock.now() + entry.prefillMs() > entry.submittedAt + entry.job.aimLeftMs;
+  function isTooLate(tracked: TrackedJob): boolean {
+    if (tracked.isLate) return msUntilLatestStart(tracked) < 0;
+    return clock.now() + tracked.prefillMs() > tracked.submittedAt + tracked.job.aimLeftMs;
   }
 
-  /** What can no longer be on time makes room for what can, or is given up. */
-  function postpone(entry: TrackedJob, engine: EngineModel): void {
-    if (entry.isLate) {
-      turnAway(entry);
+  /** Queues a request that misses its objective as late, and declines one that misses its deadline. */
+  function postpone(tracked: TrackedJob, engine: EngineModel): void {
+    if (tracked.isLate) {
+      declineExpired(tracked);
       return;
     }
-    makeLate(entry);
+    markLate(tracked);
     const queue = engines.queue(engine.id);
-    const aheadMs = engine.prefills.remainingMs(clock.now()) + queue.lateWorkMs();
-    entry.expectedFirstTokenAt = clock.now() + aheadMs / spareShare() + entry.prefillMs();
-    queue.add(entry);
-    expireInTime(entry);
+    const workAheadMs = engine.prefills.remainingMs(clock.now()) + queue.lateWorkMs();
+    tracked.expectedFirstTokenAt =
+      clock.now() + workAheadMs / spareCapacity() + tracked.prefillMs();
+    queue.add(tracked);
+    scheduleExpiry(tracked);
   }
 
-  /** The engine that a request waited for takes nothing any more; another is found. */
-  function leaveFor(entry: TrackedJob): void {
-    entry.engine = undefined;
-    entry.reroutes += 1;
-    entry.expiryTimer?.cancel();
-    route(entry);
+  /** Routes a request again whose engine became unavailable while it waited. */
+  function reroute(tracked: TrackedJob): void {
+    tracked.engine = undefined;
+    tracked.reroutes += 1;
+    tracked.expiryTimer?.cancel();
+    route(tracked);
   }
 
-  /** The engine that is to generate; declines the request where there is none. */
-  function chooseGenerator(entry: TrackedJob, zone: string): RegisteredServer | undefined {
-    const { job } = entry;
-    const fit = candidates.list(job, 'decode');
-    const generator = generators.choose(fit, zone, job.rank, options.busyMs);
-    if (generator === undefined) declineWithoutEngine(entry);
-    return generator;
+  /** Chooses the decode engine; declines the request if there is none. */
+  function chooseDecodeEngine(tracked: TrackedJob, zone: string): RegisteredServer | undefined {
+    const { job } = tracked;
+    const decodeCandidates = candidates.list(job, 'decode');
+    const chosen = decodeEngines.choose(decodeCandidates, zone, job.rank, options.busyMs);
+    if (chosen === undefined) declineWithoutEngine(tracked);
+    return chosen;
   }
 
-  function startRead(entry: TrackedJob, engine: EngineModel): void {
-    const { job } = entry;
-    const generator = chooseGenerator(entry, candidates.find(engine.id)?.zone ?? job.zone);
-    if (generator === undefined) return;
-    entry.stage = 'reading';
-    if (!entry.isLate) punctualWork.record(entry.prefillMs(), clock.now());
+  function startPrefill(tracked: TrackedJob, engine: EngineModel): void {
+    const { job } = tracked;
+    const decodeEngine = chooseDecodeEngine(tracked, candidates.find(engine.id)?.zone ?? job.zone);
+    if (decodeEngine === undefined) return;
+    tracked.stage = 'reading';
+    if (!tracked.isLate) punctualLoad.record(tracked.prefillMs(), clock.now());
     engine.startPrefill(job.id, 'prefill', job.prompt, clock.now());
-    const isPaceKnown = paces.hasSamples();
-    const expectedReadMs = isPaceKnown ? engine.prefills.remainingMs(clock.now()) : undefined;
-    place(entry, { reader: engine.id, generator: generator.id, expectedReadMs });
+    const hasSamples = latencyModels.hasSamples();
+    const expectedReadMs = hasSamples ? engine.prefills.remainingMs(clock.now()) : undefined;
+    place(tracked, { reader: engine.id, generator: decodeEngine.id, expectedReadMs });
   }
 
-  function placeDirectly(entry: TrackedJob, server: RegisteredServer): void {
+  function placeLocally(tracked: TrackedJob, server: RegisteredServer): void {
     const engine = engines.model(server.id);
-    entry.engine = engine;
-    entry.stage = 'read-directly';
-    engine.startPrefill(entry.job.id, 'decode', entry.job.prompt, clock.now());
-    watch.expectFirstToken(entry.job.id, server.id, engine.prefills.remainingMs(clock.now()));
-    place(entry, { generator: server.id });
+    tracked.engine = engine;
+    tracked.stage = 'read-directly';
+    engine.startPrefill(tracked.job.id, 'decode', tracked.job.prompt, clock.now());
+    monitor.expectFirstToken(tracked.job.id, server.id, engine.prefills.remainingMs(clock.now()));
+    place(tracked, { generator: server.id });
   }
 
-  /** Another engine is to generate from a prompt that was read before. */
-  function placeAtGenerator(entry: TrackedJob): void {
-    const { job } = entry;
-    const generator = chooseGenerator(entry, job.zone);
-    if (generator === undefined) return;
-    startTransfer(entry, generator.id, false);
-    place(entry, { generator: generator.id });
+  /** Places a request whose prefill is complete on a decode engine. */
+  function placeForDecode(tracked: TrackedJob): void {
+    const { job } = tracked;
+    const decodeEngine = chooseDecodeEngine(tracked, job.zone);
+    if (decodeEngine === undefined) return;
+    startTransfer(tracked, decodeEngine.id, false);
+    place(tracked, { generator: decodeEngine.id });
   }
 
-  function startTransfer(entry: TrackedJob, generator: string, isOtherZone: boolean): void {
-    const { job } = entry;
-    const engine = engines.model(generator);
-    entry.engine = engine;
-    entry.stage = 'transferred';
-    generatingLoad.observeTransfer(
-      paces.transfer.estimateMs(resolveTransferWork(job, false)),
+  function startTransfer(tracked: TrackedJob, decodeEngine: string, isOtherZone: boolean): void {
+    const { job } = tracked;
+    const engine = engines.model(decodeEngine);
+    tracked.engine = engine;
+    tracked.stage = 'transferred';
+    decodeLoad.observeTransfer(
+      latencyModels.transfer.estimateMs(resolveTransferWork(job, false)),
       clock.now(),
     );
     engine.startTransfer(job.id, job.prompt, resolveTransferWork(job, isOtherZone), clock.now());
-    watch.expectFirstToken(job.id, generator, engine.transfers.remainingMs(clock.now()));
+    monitor.expectFirstToken(job.id, decodeEngine, engine.transfers.remainingMs(clock.now()));
   }
 
-  function place(entry: TrackedJob, placement: EnginePlacement): void {
-    const { job } = entry;
-    entry.placement = placement;
-    entry.placedAt = clock.now();
+  function place(tracked: TrackedJob, placement: EnginePlacement): void {
+    const { job } = tracked;
+    tracked.placement = placement;
+    tracked.placedAt = clock.now();
     if (placement.reader !== undefined) limits.take(placement.reader);
     limits.take(placement.generator);
-    entry.expiryTimer?.cancel();
-    generators.start(placement.generator, job.rank, job.prompt.tokens);
-    noteLoad();
+    tracked.expiryTimer?.cancel();
+    decodeEngines.start(placement.generator, job.rank, job.prompt.tokens);
+    observeDecodeLoad();
     log.write('requestPlaced', {
       request: job.requestId,
       ...placement,
       tokens: job.prompt.tokens,
       outputTokens: job.prompt.maxOutputTokens,
-      isLate: entry.isLate,
+      isLate: tracked.isLate,
       marginMs: Math.round(marginMs(job)),
-      predictedMs: Math.round(entry.expectedFirstTokenAt - entry.submittedAt),
-      waitedMs: Math.round(clock.now() - entry.submittedAt),
+      predictedMs: Math.round(tracked.expectedFirstTokenAt - tracked.submittedAt),
+      waitedMs: Math.round(clock.now() - tracked.submittedAt),
     });
-    entry.onDecision({ kind: 'placed', placement });
+    tracked.onDecision({ kind: 'placed', placement });
   }
 
-  function noteLoad(): void {
-    let taken = 0;
+  function observeDecodeLoad(): void {
+    let utilization = 0;
     for (const engine of parts.engines()) {
-      if (engine.role === 'decode') taken += generators.load(engine, parts.cacheTokens());
+      if (engine.role === 'decode') utilization += decodeEngines.load(engine, parts.cacheTokens());
     }
-    generatingLoad.observe(taken, clock.now());
+    decodeLoad.observe(utilization, clock.now());
   }
 
   /**
-   * Takes in what became of a request at its engine: the one that reads, or after that the one that
-   * generates. An engine that declines a prompt that was read elsewhere may be right, since the
-   * reader may have dropped it; so the reader is judged as well.
+   * Records the outcome for the engine that had the request: the prefill engine, or after the handoff
+   * the decode engine. A decode engine may decline because the prefill engine has dropped the prompt,
+   * so a decline is recorded for the prefill engine too.
    */
-  function judge({ stage, placement, placedAt }: TrackedJob, outcome: HealthOutcome): void {
+  function recordOutcome({ stage, placement, placedAt }: TrackedJob, outcome: HealthOutcome): void {
     if (placement === undefined) return;
     const { reader, generator } = placement;
-    const isReading = stage === 'reading' && reader !== undefined;
-    watch.recordOutcome(isReading ? reader : generator, outcome, placedAt);
-    const isOnReaderToo = outcome === 'good' || outcome === 'declined';
-    if (isReading || reader === undefined || !isOnReaderToo) return;
-    watch.recordOutcome(reader, outcome, placedAt);
+    const isPrefilling = stage === 'reading' && reader !== undefined;
+    monitor.recordOutcome(isPrefilling ? reader : generator, outcome, placedAt);
+    const concernsPrefill = outcome === 'good' || outcome === 'declined';
+    if (isPrefilling || reader === undefined || !concernsPrefill) return;
+    monitor.recordOutcome(reader, outcome, placedAt);
   }
 
-  function leaveQueue(entry: TrackedJob): void {
-    if (entry.engine !== undefined) engines.queue(entry.engine.id).remove(entry);
+  function leaveQueue(tracked: TrackedJob): void {
+    if (tracked.engine !== undefined) engines.queue(tracked.engine.id).remove(tracked);
   }
 
-  /** The engine that works on a request no longer does. */
-  function leaveEngine(entry: TrackedJob, isWhole: boolean): void {
-    const { engine, stage, job } = entry;
+  /** Removes a request from its current engine, or from the queue of that engine. */
+  function leaveEngine(tracked: TrackedJob, isComplete: boolean): void {
+    const { engine, stage, job } = tracked;
     if (engine === undefined) return;
     const now = clock.now();
-    if (stage === 'waiting') leaveQueue(entry);
-    if (stage === 'reading' || stage === 'read-directly') engine.endPrefill(job.id, isWhole, now);
-    if (stage === 'transferred') engine.endTransfer(job.id, isWhole, now);
-    entry.engine = undefined;
-    if (stage === 'reading') advance(engine);
+    if (stage === 'waiting') leaveQueue(tracked);
+    if (stage === 'reading' || stage === 'read-directly')
+      engine.endPrefill(job.id, isComplete, now);
+    if (stage === 'transferred') engine.endTransfer(job.id, isComplete, now);
+    tracked.engine = undefined;
+    if (stage === 'reading') startPrefills(engine);
   }
 
   return {
     submit,
     adopt(job, placement) {
-      if (entries.has(job.id)) return;
-      const entry = createTrackedJob(job, clock.now(), () => undefined);
-      entries.set(job.id, { ...entry, stage: 'generating', placement });
-      generators.start(placement.generator, job.rank, job.prompt.tokens);
+      if (jobs.has(job.id)) return;
+      const tracked = createTrackedJob(job, clock.now(), () => undefined);
+      jobs.set(job.id, { ...tracked, stage: 'generating', placement });
+      decodeEngines.start(placement.generator, job.rank, job.prompt.tokens);
     },
     prefillCompleted(id) {
-      const entry = entries.get(id);
-      if (entry?.placement?.reader === undefined || entry.stage !== 'reading') return;
-      const { reader, generator } = entry.placement;
-      watch.recordResponse(reader);
-      leaveEngine(entry, true);
+      const tracked = jobs.get(id);
+      if (tracked?.placement?.reader === undefined || tracked.stage !== 'reading') return;
+      const { reader, generator } = tracked.placement;
+      monitor.recordResponse(reader);
+      leaveEngine(tracked, true);
       const isOtherZone = candidates.find(reader)?.zone !== candidates.find(generator)?.zone;
-      startTransfer(entry, generator, isOtherZone);
+      startTransfer(tracked, generator, isOtherZone);
     },
     firstTokenReceived(id) {
-      watch.firstTokenReceived(id);
-      const entry = entries.get(id);
-      if (entry === undefined || entry.stage === 'generating') return;
-      if (!entry.isLate) margin.observe(clock.now() - entry.expectedFirstTokenAt);
-      leaveEngine(entry, true);
-      entry.stage = 'generating';
+      monitor.firstTokenReceived(id);
+      const tracked = jobs.get(id);
+      if (tracked === undefined || tracked.stage === 'generating') return;
+      if (!tracked.isLate) margin.observe(clock.now() - tracked.expectedFirstTokenAt);
+      leaveEngine(tracked, true);
+      tracked.stage = 'generating';
     },
     finished(id, outcome) {
-      const entry = entries.get(id);
-      if (entry === undefined) return;
-      entries.delete(id);
-      entry.expiryTimer?.cancel();
-      watch.requestEnded(id);
-      if (outcome !== undefined) judge(entry, outcome);
-      leaveEngine(entry, false);
-      if (entry.placement !== undefined)
-        generators.end(entry.placement.generator, entry.job.rank, entry.job.prompt.tokens);
+      const tracked = jobs.get(id);
+      if (tracked === undefined) return;
+      jobs.delete(id);
+      tracked.expiryTimer?.cancel();
+      monitor.requestEnded(id);
+      if (outcome !== undefined) recordOutcome(tracked, outcome);
+      leaveEngine(tracked, false);
+      if (tracked.placement !== undefined)
+        decodeEngines.end(tracked.placement.generator, tracked.job.rank, tracked.job.prompt.tokens);
     },
     forget(engine) {
-      watch.forget(engine);
-      if (inUse(engine) > 0) return;
+      monitor.forget(engine);
+      if (requestCount(engine) > 0) return;
       engines.forget(engine);
-      wakeUps.get(engine)?.cancel();
-      wakeUps.delete(engine);
+      prefillTimers.get(engine)?.cancel();
+      prefillTimers.delete(engine);
     },
-    peakDecodeLoad: () => (mechanisms.demandSplit ? generatingLoad.peak(clock.now()) : undefined),
-    size: () => entries.size,
+    peakDecodeLoad: () => (mechanisms.demandSplit ? decodeLoad.peak(clock.now()) : undefined),
+    size: () => jobs.size,
   };
 }
 
-/** How many times the expected read must fit before the deadline of a request that is late. */
-const LATE_END_FACTOR = 2;
+/** A late request's deadline has to allow this multiple of the estimated prefill time. */
+const DEADLINE_PREFILL_FACTOR = 2;
--- a/src/scheduling/scheduling-gateway.ts
+++ b/src/scheduling/scheduling-gateway.ts
@@ -1,15 +1,15 @@
 /**
- * Which gateway schedules a service: among those that are ready, one with the most processor, and
- * of equals one that is drawn by the service's name, so that services spread over gateways.
+ * Chooses the gateway that schedules a service: among the ready gateways with the most cores, by
+ * rendezvous hashing on the service's name, so that services spread over gateways.
  */
 import { createHash } from 'node:crypto';
 import type { SchedulingGateway } from './job-submitter.js';
 
 /**
- * Names the gateway that schedules a service.
+ * Returns the name of the gateway that schedules a service.
  *
  * @param service the service
- * @param gateways those that are ready; not empty
+ * @param gateways the ready gateways; not empty
  */
 export function resolveSchedulingGateway(
   service: string,
@@ -17,25 +17,25 @@
 ): string {
   let best = '';
   let bestCores = Number.NEGATIVE_INFINITY;
-  let bestDraw = '';
+  let bestHash = '';
   for (const { node, cores } of gateways) {
     if (cores < bestCores) continue;
-    const draw = drawFor(`${service}/${node}`);
-    if (cores === bestCores && draw <= bestDraw) continue;
+    const hash = hashOf(`${service}/${node}`);
+    if (cores === bestCores && hash <= bestHash) continue;
     best = node;
     bestCores = cores;
-    bestDraw = draw;
+    bestHash = hash;
   }
   return best;
 }
 
-/** Draws so far; one for each service and gateway that were ever known. */
-const draws = new Map<string, string>();
+/** Cached hashes by service and gateway; never evicted. */
+const hashes = new Map<string, string>();
 
-function drawFor(name: string): string {
-  const known = draws.get(name);
+function hashOf(name: string): string {
+  const known = hashes.get(name);
   if (known !== undefined) return known;
   const created = createHash('sha1').update(name).digest('hex');
-  draws.set(name, created);
+  hashes.set(name, created);
   return created;
 }
--- a/src/scheduling/serial-work.ts
+++ b/src/scheduling/serial-work.ts
@@ -1,62 +1,61 @@
 /**
- * Work that one engine does piece after piece, as its scheduler follows it from the outside: reads of
- * prompts, or transfers over its link. The time that the engine was busy with a piece counts, not the
- * time that the piece waited behind others.
+ * Work that an engine does serially, as seen by the scheduler: prefills, or transfers over its link.
+ * The duration of an item is the time that the engine was busy with it, without its time in the
+ * queue.
  */
 
-interface Piece {
+interface Item {
   expectedMs: number;
   startedAt: number;
 }
 
-/** Work that was given to one engine and has not ended. */
+/** Work that was assigned to an engine and has not ended. */
 export interface SerialWork {
   count(): number;
-  /** Time until all of it has ended, in milliseconds. */
+  /** Estimated time until all of it has ended, in milliseconds. */
   remainingMs(now: number): number;
   start(key: string, expectedMs: number, now: number): void;
   /**
-   * A piece has ended.
+   * Ends an item.
    *
-   * @returns how long the engine was busy with it, in milliseconds; `undefined` for a piece that is
-   * not known
+   * @returns how long the engine was busy with it, in milliseconds; `undefined` for an unknown item
    */
   end(key: string, now: number): number | undefined;
 }
 
-/** Creates an engine with nothing to do. */
+/** Creates a record without work. */
 export function createSerialWork(): SerialWork {
-  const pieces = new Map<string, Piece>();
+  const items = new Map<string, Item>();
   let lastEndAt = Number.NEGATIVE_INFINITY;
 
-  /** How long the engine has been busy with the oldest piece. */
-  function busyMs(piece: Piece, now: number): number {
-    return now - Math.max(piece.startedAt, lastEndAt);
+  /** How long the engine has been busy with the oldest item. */
+  function busyMs(item: Item, now: number): number {
+    return now - Math.max(item.startedAt, lastEndAt);
   }
 
   return {
-    count: () => pieces.size,
+    count: () => items.size,
     remainingMs(now) {
       let totalMs = 0;
-      let oldest: Piece | undefined;
-      for (const piece of pieces.values()) {
-        oldest ??= piece;
-        totalMs += piece.expectedMs;
+      let oldest: Item | undefined;
+      for (const item of items.values()) {
+        oldest ??= item;
+        totalMs += item.expectedMs;
       }
       if (oldest === undefined) return 0;
-      const workedMs = busyMs(oldest, now);
-      // an engine that is late with a piece is expected to be late by as much again
-      const overdueMs = Math.max(0, workedMs - oldest.expectedMs);
-      return totalMs - Math.min(oldest.expectedMs, workedMs) + overdueMs;
+      const elapsedMs = busyMs(oldest, now);
+      // an overdue item is expected to take as long again as it is overdue
+      const overdueMs = Math.max(0, elapsedMs - oldest.expectedMs);
+      return totalMs - Math.min(oldest.expectedMs, elapsedMs) + overdueMs;
     },
     start(key, expectedMs, now) {
-      pieces.set(key, { expectedMs, startedAt: now });
+      items.set(key, { expectedMs, startedAt: now });
     },
     end(key, now) {
-      const piece = pieces.get(key);
-      if (piece === undefined) return undefined;
-      pieces.delete(key);
-      const tookMs = busyMs(piece, now);
+      const item = items.get(key);
+      if (item === undefined) return undefined;
+      items.delete(key);
+      const tookMs = busyMs(item, now);
       lastEndAt = now;
       return tookMs;
     },
--- a/src/scheduling/tracked-job.ts
+++ b/src/scheduling/tracked-job.ts
@@ -1,53 +1,52 @@
 /**
- * One request at its scheduler, from its submission to its end.
+ * The scheduler's state of one request.
  */
 import type { Timer } from '../task/index.js';
 import type { EngineModel } from './engine-model.js';
 import type { Decision, EnginePlacement, Job } from './job.js';
 import type { WaitingPrompt } from './prefill-queue.js';
 
-/** What a request is at. */
+/** Processing stage of a request; `read-directly` is a local prefill on the decode engine. */
 export type Stage = 'waiting' | 'reading' | 'read-directly' | 'transferred' | 'generating';
 
-/** One request. */
+/** A request from its submission to its end; times are milliseconds on the scheduler's clock. */
 export interface TrackedJob extends WaitingPrompt {
   job: Job;
   submittedAt: number;
-  /** When its first event was predicted on admission. */
+  /** Estimated at admission. */
   expectedFirstTokenAt: number;
   onDecision: (decision: Decision) => void;
   stage: Stage;
-  /** Time that reading it takes at the engine that it waits for, as of when it began to wait, in ms:
-   * working it out anew for each that waits took most of a decision's time. */
+  /** Estimated prefill time at `engine`, in ms; computed when the request is queued, since computing it
+   * on each access is expensive. */
   prefillEstimateMs: number;
-  /** The engine that it waits for, or that works on it. */
+  /** The engine that the request waits for or runs on. */
   engine: EngineModel | undefined;
-  /** Gives up on a late request that could no longer end in time. */
+  /** Declines a late request that can no longer meet its deadline. */
   expiryTimer: Timer | undefined;
   placement: EnginePlacement | undefined;
-  /** When it was given to its engines. */
   placedAt: number;
-  /** How often the engine that it waited for could not take it. */
+  /** How often the request was routed again because its engine became unavailable. */
   reroutes: number;
 }
 
 /**
  * Creates a request that waits for a decision.
  *
- * @param job what its gateway says of it
- * @param now the present time, in milliseconds
- * @param decided hears the decision
+ * @param job the request as submitted by its gateway
+ * @param now the current time, in milliseconds
+ * @param onDecision called with the decision
  */
 export function createTrackedJob(
   job: Job,
   now: number,
-  decided: (decision: Decision) => void,
+  onDecision: (decision: Decision) => void,
 ): TrackedJob {
-  const entry: TrackedJob = {
+  const tracked: TrackedJob = {
     job,
     submittedAt: now,
     expectedFirstTokenAt: now,
-    onDecision: decided,
+    onDecision,
     stage: 'waiting',
     engine: undefined,
     expiryTimer: undefined,
@@ -58,7 +57,7 @@
     isLate: false,
     dueAt: now,
     prefillEstimateMs: 0,
-    prefillMs: () => entry.prefillEstimateMs,
+    prefillMs: () => tracked.prefillEstimateMs,
   };
-  return entry;
+  return tracked;
 }
--- a/test/replay/limited-engines.test.ts
+++ b/test/replay/limited-engines.test.ts
@@ -6,11 +6,11 @@
 
 const SEEDS = [1, 2, 3];
 const WINDOW_MS = 4_000;
-/** An engine gets at most so many times what its limit allows in a window, and a few requests more. */
+/** Allowed requests in a window: this factor times the limit, plus the slack. */
 const LIMIT_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-/** From when on it counts after the engine named it, in ms. */
-const TOLD_MS = 500;
+/** Time after which a limit is checked once the engine has sent it, in ms. */
+const SETTLING_MS = 500;
 
 function load(name: string): Pattern {
   return readPattern(join('replay', `${name}.json`)).unwrap();
@@ -24,43 +24,44 @@
   return outcomes;
 }
 
-/** What an outcome breaks of the limits of a pattern, and what of them is left unused. */
-function judgeLimits({ events }: Pattern, { arrivals }: Outcome): string[] {
-  const broken: string[] = [];
+/** Lists windows over an engine's limit, and engines that use less than half of it. */
+function findLimitViolations({ events }: Pattern, { arrivals }: Outcome): string[] {
+  const violations: string[] = [];
   for (const event of events) {
     if (event.what !== 'engine-limited') continue;
     const { engine, perSecond, atS, untilS } = event;
-    const [from, to] = [atS * 1_000 + TOLD_MS, untilS * 1_000];
+    const [from, to] = [atS * 1_000 + SETTLING_MS, untilS * 1_000];
     const times = (arrivals.get(engine) ?? []).filter((at) => at >= from && at < to);
     const allowed = (LIMIT_FACTOR * perSecond * WINDOW_MS) / 1_000 + LIMIT_SLACK;
     for (const [index, first] of times.entries()) {
       const count = times.slice(index).filter((at) => at < first + WINDOW_MS).length;
-      if (count > allowed) broken.push(`${engine} got ${count} in a window; allowed ${allowed}`);
+      if (count > allowed)
+        violations.push(`${engine} got ${count} in a window; allowed ${allowed}`);
     }
     const half = (perSecond * (to - from)) / 2_000;
-    if (times.length < half) broken.push(`${engine} got ${times.length}; half is ${half}`);
+    if (times.length < half) violations.push(`${engine} got ${times.length}; half is ${half}`);
   }
-  return broken;
+  return violations;
 }
 
-describe('engines that name limits, under load', () => {
-  it('are kept within them and used, and the others take the rest on time', async () => {
+describe('rate-limited engines under load', () => {
+  it('get no more than their limits, and the others serve the rest on time', async () => {
     const pattern = load('limited-third');
     for (const outcome of await playAll(pattern)) {
-      expect(judgeLimits(pattern, outcome)).to.deep.equal([]);
+      expect(findLimitViolations(pattern, outcome)).to.deep.equal([]);
       expect(resolveOnTimeShare(outcome)).to.be.at.least(0.98);
     }
   });
 
-  it('leave their room to the urgent first, where all that generate name limits', async () => {
+  it('serve urgent requests first when all decode engines are limited', async () => {
     const pattern = load('limited-generators');
     for (const outcome of await playAll(pattern)) {
-      expect(judgeLimits(pattern, outcome)).to.deep.equal([]);
+      expect(findLimitViolations(pattern, outcome)).to.deep.equal([]);
       expect(resolveOnTimeShare(outcome, 'answer')).to.be.at.least(0.95);
     }
   });
 
-  it('have callers who find no room come back while they can still be served', async () => {
+  it('let callers without room retry before their deadline', async () => {
     for (const { byKind } of await playAll(load('limited-generators'))) {
       for (const { failed } of byKind.values()) expect(failed).to.equal(0);
     }
--- a/test/replay/replay.test.ts
+++ b/test/replay/replay.test.ts
@@ -7,8 +7,7 @@
 import { play, resolveOnTimeShare, type Outcome, type Tally } from '../../tools/replay/replay.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
-/** Enough for a load of many requests. */
-const FEW_SEEDS = [1, 2];
+const LARGE_LOAD_SEEDS = [1, 2];
 
 function load(name: string): Pattern {
   return readPattern(join('replay', `${name}.json`)).unwrap();
@@ -34,20 +33,20 @@
   return sum / outcomes.length;
 }
 
-/** Share of all requests that ended in one of the ways. */
-function resolveShare(outcomes: readonly Outcome[], way: keyof Tally): number {
+/** Share of all requests with an outcome. */
+function resolveShare(outcomes: readonly Outcome[], key: keyof Tally): number {
   let asked = 0;
   let ended = 0;
   for (const { byKind } of outcomes) {
     for (const tally of byKind.values()) {
       asked += tally.asked;
-      ended += tally[way];
+      ended += tally[key];
     }
   }
   return ended / asked;
 }
 
-/** How much more is on time with a mechanism than without. */
+/** Difference in the on-time share with and without a mechanism. */
 async function resolveGain(
   name: string,
   mechanism: keyof SchedulingMechanisms,
@@ -60,58 +59,58 @@
   return on - off;
 }
 
-describe('loads that are replayed', () => {
-  it('end the same for the same seed', async () => {
+describe('replay', () => {
+  it('is deterministic for a seed', async () => {
     const pattern = load('swinging-mix');
     const terms = { seed: 7, mechanisms: allMechanisms };
     const [first, second] = [await play(pattern, terms), await play(pattern, terms)];
     expect([...first.byKind]).to.deep.equal([...second.byKind]);
   });
 
-  it('with few engines that read: those that generate read as well', async () => {
+  it('few prefill engines: local prefill raises the on-time share', async () => {
     expect(await resolveGain('few-readers', 'directReads', 'long')).to.be.above(0.04);
   });
 
-  it('with long shared parts: prompts go where their parts are cached', async () => {
+  it('long shared parts: cache affinity raises the on-time share', async () => {
     expect(await resolveGain('swinging-mix', 'cacheAffinity', 'long')).to.be.above(0.04);
   });
 
-  it('when the scheduler ends at the peak: its successor asks for what is cached', async () => {
+  it('scheduler lost at the peak: loading cached parts raises the on-time share', async () => {
     expect(await resolveGain('gateways-lost', 'cacheLists', 'long')).to.be.above(0.02);
   });
 
-  it('with long prompts and short ones: the nearest deadline first', async () => {
+  it('mixed prompt lengths: deadline order raises the on-time share', async () => {
     expect(await resolveGain('few-readers', 'deadlineOrder', 'long')).to.be.above(0.01);
   });
 
-  it('in lasting overload: the margin of predictions keeps answers on time', async () => {
-    const gain = await resolveGain('lasting-overload', 'learntMargin', 'verdict', FEW_SEEDS);
+  it('sustained overload: the latency margin raises the on-time share', async () => {
+    const gain = await resolveGain('lasting-overload', 'learntMargin', 'verdict', LARGE_LOAD_SEEDS);
     expect(gain).to.be.above(0.03);
   });
 
-  it('in lasting overload: late requests are told at once, not when their callers leave', async () => {
+  it('sustained overload: late requests are declined before their callers time out', async () => {
     const pattern = load('lasting-overload');
-    const on = await playAll(pattern, {}, FEW_SEEDS);
-    const off = await playAll(pattern, { spareTime: false }, FEW_SEEDS);
+    const on = await playAll(pattern, {}, LARGE_LOAD_SEEDS);
+    const off = await playAll(pattern, { spareTime: false }, LARGE_LOAD_SEEDS);
     expect(resolveShare(on, 'failed')).to.be.below(0.01);
     expect(resolveShare(off, 'failed')).to.be.above(0.03);
   });
 
-  it('while engines are lost and come back: every request ends, and the short ones on time', async () => {
+  it('engines lost and restored: all requests end, short ones on time', async () => {
     const outcomes = await playAll(load('engine-lost'));
     expect(resolveMean(outcomes, 'short')).to.be.above(0.98);
     expect(resolveShare(outcomes, 'failed')).to.be.below(0.01);
   });
 
   for (const tokensPerMs of [16, 64, 300, 600]) {
-    it(`at engines that read ${tokensPerMs} tokens a ms: the same load is served as well`, async () => {
+    it(`engines at ${tokensPerMs} tokens/ms: the scaled load is served on time`, async () => {
       const pattern = scale(load('swinging-mix'), tokensPerMs / 64);
       expect(resolveMean(await playAll(pattern))).to.be.above(0.85);
     });
   }
 });
 
-/** The same work on engines of another speed, with objectives that are as many reads long. */
+/** Scales engine speed, request rate and objectives by the same factor. */
 function scale(pattern: Pattern, factor: number): Pattern {
   const { fleet } = pattern;
   const seconds = pattern.seconds / factor;
@@ -148,7 +147,7 @@
     return result;
   }
 
-  it('name the field that is wrong', () => {
+  it('report the invalid field', () => {
     const pattern = load('few-readers');
     const kinds = pattern.kinds.map((kind) => ({ ...kind, perSecond: -1 }));
     const negative = readText(JSON.stringify({ ...pattern, kinds }));
--- a/test/scheduling/admission.test.ts
+++ b/test/scheduling/admission.test.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai';
 import { resolveAdmission, type PrefillEstimate } from '../../src/scheduling/admission.js';
 
-function prospect(more: Partial<PrefillEstimate>): PrefillEstimate {
+function createEstimate(more: Partial<PrefillEstimate>): PrefillEstimate {
   const none = { queueDelayMs: 0, prefillMs: 0, handoffMs: 0, penaltyMs: 0, lateBacklogMs: 0 };
   return { ...none, scoredPrefillMs: more.prefillMs ?? 0, delaysOthers: false, ...more };
 }
 
-/** It has parts of the prompt cached, and a longer queue. */
-const holder = prospect({ queueDelayMs: 150, prefillMs: 20 });
-const other = prospect({ queueDelayMs: 60, prefillMs: 60 });
-const demand = {
+/** Has parts of the prompt cached, but a longer queue. */
+const cached = createEstimate({ queueDelayMs: 150, prefillMs: 20 });
+const uncached = createEstimate({ queueDelayMs: 60, prefillMs: 60 });
+const terms = {
   objectiveLeftMs: 200,
   timeLeftMs: 3_000,
   marginMs: 0,
@@ -17,35 +17,37 @@
   spareCapacity: 1,
 };
 
-describe('the admission of prompts', () => {
-  it('takes the sooner engine while engines have time', () => {
-    const admission = resolveAdmission([holder, other], demand);
-    expect(admission).to.deep.equal({ kind: 'punctual', option: other });
+describe('admission', () => {
+  it('chooses the faster engine with spare capacity', () => {
+    const admission = resolveAdmission([cached, uncached], terms);
+    expect(admission).to.deep.equal({ kind: 'punctual', option: uncached });
   });
 
-  it('keeps a prompt at the engine that has its parts in overload', () => {
-    const admission = resolveAdmission([holder, other], { ...demand, spareCapacity: 0.2 });
-    expect(admission).to.deep.equal({ kind: 'punctual', option: holder });
+  it('keeps a prompt at the engine with its cached parts in overload', () => {
+    const admission = resolveAdmission([cached, uncached], { ...terms, spareCapacity: 0.2 });
+    expect(admission).to.deep.equal({ kind: 'punctual', option: cached });
   });
 
-  it('does not go on to an engine that has to read all again, to be on time in overload', () => {
-    const terms = { ...demand, objectiveLeftMs: 160, timeLeftMs: 400, spareShare: 0.2 };
-    expect(resolveAdmission([holder, other], terms).kind).to.equal('declined');
+  it('does not move a prompt to an engine without its cached parts in overload', () => {
+    const overload = { ...terms, objectiveLeftMs: 160, timeLeftMs: 400, spareCapacity: 0.2 };
+    expect(resolveAdmission([cached, uncached], overload).kind).to.equal('declined');
   });
 
-  it('lets a request be late only where spare time is likely to come', () => {
-    const terms = { ...demand, objectiveLeftMs: 100 };
-    expect(resolveAdmission([other], terms).kind).to.equal('late');
-    expect(resolveAdmission([other], { ...terms, spareCapacity: 0.02 }).kind).to.equal('declined');
+  it('admits late requests only if spare capacity is likely', () => {
+    const late = { ...terms, objectiveLeftMs: 100 };
+    expect(resolveAdmission([uncached], late).kind).to.equal('late');
+    expect(resolveAdmission([uncached], { ...late, spareCapacity: 0.02 }).kind).to.equal(
+      'declined',
+    );
   });
 
-  it('tells a caller to come back when the queue has drained, within a third of its time', () => {
-    const late = { ...demand, objectiveLeftMs: 100, mayBeLate: false };
-    const soon = resolveAdmission([holder], late);
-    const busy = resolveAdmission([holder], { ...late, spareCapacity: 0.25 });
-    const never = resolveAdmission([holder], { ...late, spareCapacity: 0.02 });
-    expect(soon).to.include({ kind: 'declined', retryAfterMs: 70 });
+  it('sets Retry-After to the queue drain time, at most a third of the time left', () => {
+    const late = { ...terms, objectiveLeftMs: 100, mayBeLate: false };
+    const idle = resolveAdmission([cached], late);
+    const busy = resolveAdmission([cached], { ...late, spareCapacity: 0.25 });
+    const saturated = resolveAdmission([cached], { ...late, spareCapacity: 0.02 });
+    expect(idle).to.include({ kind: 'declined', retryAfterMs: 70 });
     expect(busy).to.include({ kind: 'declined', retryAfterMs: 280 });
-    expect(never).to.include({ kind: 'declined', retryAfterMs: 1_000 });
+    expect(saturated).to.include({ kind: 'declined', retryAfterMs: 1_000 });
   });
 });
--- a/test/scheduling/engine-monitor.test.ts
+++ b/test/scheduling/engine-monitor.test.ts
@@ -3,37 +3,37 @@
 import { createEngineMonitor } from '../../src/scheduling/engine-monitor.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
-describe('the watch on engines', () => {
+describe('engine monitor', () => {
   function setUp() {
     const fake = createFakeClock();
-    return { ...fake, watch: createEngineMonitor(fake.clock, createSilentLog()) };
+    return { ...fake, monitor: createEngineMonitor(fake.clock, createSilentLog()) };
   }
 
-  it('takes an engine that is heard for a busy one, however long a request waits there', async () => {
-    const { watch, advance } = setUp();
-    watch.expectFirstToken('job', 'e', 0);
+  it('treats an unanswered request as busy while the engine responds to others', async () => {
+    const { monitor, advance } = setUp();
+    monitor.expectFirstToken('job', 'e', 0);
     await advance(300);
-    watch.recordResponse('e');
+    monitor.recordResponse('e');
     await advance(300);
     for (let index = 0; index < 5; index += 1) {
-      watch.recordOutcome('e', 'silent', 0);
+      monitor.recordOutcome('e', 'silent', 0);
     }
-    expect(watch.isAvailable('e', 8)).to.equal(true);
+    expect(monitor.isAvailable('e', 8)).to.equal(true);
   });
 
-  it('leaves an engine alone that several requests found silent and that is not heard', () => {
-    const { watch } = setUp();
+  it('avoids an engine that does not respond to several requests', () => {
+    const { monitor } = setUp();
     for (let index = 0; index < 3; index += 1) {
-      watch.recordOutcome('e', 'silent', 0);
+      monitor.recordOutcome('e', 'silent', 0);
     }
-    expect(watch.isAvailable('e', 0)).to.equal(false);
+    expect(monitor.isAvailable('e', 0)).to.equal(false);
   });
 
-  it('goes on with an engine at which a third of all requests fails', () => {
-    const { watch } = setUp();
+  it('keeps using an engine that fails a third of its requests', () => {
+    const { monitor } = setUp();
     for (let index = 0; index < 90; index += 1) {
-      watch.recordOutcome('e', index % 3 === 0 ? 'failed' : 'good', 0);
+      monitor.recordOutcome('e', index % 3 === 0 ? 'failed' : 'good', 0);
     }
-    expect(watch.isAvailable('e', 8)).to.equal(true);
+    expect(monitor.isAvailable('e', 8)).to.equal(true);
   });
 });
--- a/test/scheduling/latency-model.test.ts
+++ b/test/scheduling/latency-model.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai';
 import { createLatencyModel, resolvePrefillWork } from '../../src/scheduling/latency-model.js';
 
-/** What an engine takes for a read, by the terms that engines have. */
-function takes(unread: number, cached: number, tokensPerMs: number): number {
-  const { tokens, pairs } = resolvePrefillWork(unread, cached);
+/** Prefill time of an engine in milliseconds. */
+function resolveActualMs(uncached: number, cached: number, tokensPerMs: number): number {
+  const { tokens, pairs } = resolvePrefillWork(uncached, cached);
   return 5 + tokens / tokensPerMs + 0.367 * (pairs / 1_000_000);
 }
 
-const READS: readonly (readonly [unread: number, cached: number])[] = [
+const PREFILLS: readonly (readonly [uncached: number, cached: number])[] = [
   [3_700, 13_300],
   [2_900, 6_300],
   [1_100, 350],
@@ -15,50 +15,53 @@
   [900, 25_000],
 ];
 
-describe('the pace of engines', () => {
+describe('latency model', () => {
   for (const tokensPerMs of [30, 64, 300, 600]) {
-    it(`is known within a fifth after ten reads at ${tokensPerMs} tokens a ms`, () => {
-      const pace = createLatencyModel();
+    it(`is accurate within 20% after ten prefills at ${tokensPerMs} tokens/ms`, () => {
+      const model = createLatencyModel();
       for (let index = 0; index < 10; index += 1) {
-        const [unread, cached] = READS[index % READS.length] ?? [0, 0];
-        pace.observe(resolvePrefillWork(unread, cached), takes(unread, cached, tokensPerMs));
+        const [uncached, cached] = PREFILLS[index % PREFILLS.length] ?? [0, 0];
+        model.observe(
+          resolvePrefillWork(uncached, cached),
+          resolveActualMs(uncached, cached, tokensPerMs),
+        );
       }
-      for (const [unread, cached] of READS) {
-        const expected = takes(unread, cached, tokensPerMs);
-        const found = pace.estimateMs(resolvePrefillWork(unread, cached));
-        expect(found).to.be.within(expected * 0.8 - 3, expected * 1.2 + 3);
+      for (const [uncached, cached] of PREFILLS) {
+        const expected = resolveActualMs(uncached, cached, tokensPerMs);
+        const estimate = model.estimateMs(resolvePrefillWork(uncached, cached));
+        expect(estimate).to.be.within(expected * 0.8 - 3, expected * 1.2 + 3);
       }
     });
   }
 
-  it('is not changed by one engine that stands still', () => {
-    const pace = createLatencyModel();
+  it('is not distorted by one stalled engine', () => {
+    const model = createLatencyModel();
     const work = resolvePrefillWork(4_000, 0);
     for (let index = 0; index < 20; index += 1) {
-      pace.observe(work, 60);
+      model.observe(work, 60);
     }
-    pace.observe(work, 4_000);
-    expect(pace.estimateMs(work)).to.be.below(80);
+    model.observe(work, 4_000);
+    expect(model.estimateMs(work)).to.be.below(80);
   });
 
-  it('follows engines that all become slower', () => {
-    const pace = createLatencyModel();
+  it('adapts when all engines become slower', () => {
+    const model = createLatencyModel();
     const work = resolvePrefillWork(4_000, 0);
     for (let index = 0; index < 20; index += 1) {
-      pace.observe(work, 60);
+      model.observe(work, 60);
     }
     for (let index = 0; index < 60; index += 1) {
-      pace.observe(work, 180);
+      model.observe(work, 180);
     }
-    expect(pace.estimateMs(work)).to.be.above(150);
+    expect(model.estimateMs(work)).to.be.above(150);
   });
 
-  it('never says that more to read takes less', () => {
-    const pace = createLatencyModel();
-    for (const [unread, cached] of READS) {
-      pace.observe(resolvePrefillWork(unread, cached), 0);
+  it('never estimates less time for more tokens', () => {
+    const model = createLatencyModel();
+    for (const [uncached, cached] of PREFILLS) {
+      model.observe(resolvePrefillWork(uncached, cached), 0);
     }
-    const less = pace.estimateMs(resolvePrefillWork(1_000, 5_000));
-    expect(pace.estimateMs(resolvePrefillWork(6_000, 0))).to.be.at.least(less);
+    const less = model.estimateMs(resolvePrefillWork(1_000, 5_000));
+    expect(model.estimateMs(resolvePrefillWork(6_000, 0))).to.be.at.least(less);
   });
 });
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -67,24 +67,24 @@
   engine('g2', 'decode', 'b'),
 ];
 
-/** Engines that read 300 tokens a ms, half as many while they generate, and need 30 ms from a read to
- * the first event. */
-function createKnownPaces() {
-  const paces = createLatencyModels();
+/** Models of engines that prefill 300 tokens/ms, or 150 tokens/ms on decode engines, with a handoff of
+ * 30 ms. */
+function createTrainedModels() {
+  const latencyModels = createLatencyModels();
   for (let index = 0; index < 100; index += 1) {
     const tokens = 1_000 * (1 + (index % 6));
     const work = { tokens, pairs: 0 };
-    paces.observePrefill('prefill', work, 4 + tokens / 300);
-    paces.observePrefill('decode', work, 8 + tokens / 150);
-    paces.transfer.observe(work, 30);
+    latencyModels.observePrefill('prefill', work, 4 + tokens / 300);
+    latencyModels.observePrefill('decode', work, 8 + tokens / 150);
+    latencyModels.transfer.observe(work, 30);
   }
-  return paces;
+  return latencyModels;
 }
 
 function setUp(
   fleet: readonly RegisteredServer[] = engines,
   mechanisms: Partial<SchedulingMechanisms> = {},
-  paces = createKnownPaces(),
+  latencyModels = createTrainedModels(),
   cached: Readonly<Record<string, readonly CachedPart[]>> = {},
 ) {
   const fake = createFakeClock();
@@ -92,7 +92,7 @@
     clock: fake.clock,
     log: createSilentLog(),
     mechanisms: { ...allMechanisms, ...mechanisms },
-    latencyModels: paces,
+    latencyModels,
     engines: () => fleet,
     cacheTokens: () => 100_000,
     caches: { list: ({ id }) => Promise.resolve(Ok(cached[id] ?? [])) },
@@ -103,7 +103,7 @@
     scheduler.submit(submitted, (decision) => decisions.set(submitted.id, decision));
     return decisions.get(submitted.id);
   }
-  /** Submits prompts that share no part until one has to wait. */
+  /** Submits prompts without shared parts until one has to wait. */
   function submitUntilOneWaits(more: Partial<Job> = {}): Job[] {
     const submitted: Job[] = [];
     do {
@@ -120,54 +120,52 @@
   return decision?.kind === 'placed' ? decision.placement : undefined;
 }
 
-/** Has three requests in a row end because their engine could not be reached; gives the placement. */
-function loseThree(
+/** Ends three requests in a row as unreachable; returns the last placement. */
+function failThree(
   submit: (job: Job) => Decision | undefined,
   scheduler: Scheduler,
   create: () => Job,
 ): EnginePlacement | undefined {
   let placement: EnginePlacement | undefined;
   for (let index = 0; index < 3; index += 1) {
-    const lost = create();
-    placement = placementOf(submit(lost));
-    scheduler.finished(lost.id, 'unreachable');
+    const failed = create();
+    placement = placementOf(submit(failed));
+    scheduler.finished(failed.id, 'unreachable');
   }
   return placement;
 }
 
-const ONE_READER = [engine('r1', 'prefill'), engine('g1', 'decode')];
-/** What cannot be on time is turned away. */
+const ONE_PREFILL_ENGINE = [engine('r1', 'prefill'), engine('g1', 'decode')];
 const ON_TIME_ONLY = { directReads: false, lateFirstAttempts: false };
-/** Engines that generate do not read. */
-const QUEUES_ONLY = { directReads: false };
+const NO_LOCAL_PREFILL = { directReads: false };
 
-describe('the scheduler of a service', () => {
-  it('sends prompts with the same shared parts to the engine that has them', () => {
-    const { submit, scheduler } = setUp(engines, QUEUES_ONLY);
-    const readers = new Set<string | undefined>();
+describe('scheduler', () => {
+  it('sends prompts with shared parts to the engine that has them cached', () => {
+    const { submit, scheduler } = setUp(engines, NO_LOCAL_PREFILL);
+    const prefillEngines = new Set<string | undefined>();
     for (let index = 0; index < 5; index += 1) {
       const submitted = job();
-      readers.add(placementOf(submit(submitted))?.reader);
+      prefillEngines.add(placementOf(submit(submitted))?.reader);
       scheduler.prefillCompleted(submitted.id);
       scheduler.firstTokenReceived(submitted.id);
     }
-    expect([...readers]).to.deep.equal(['r1']);
+    expect([...prefillEngines]).to.deep.equal(['r1']);
   });
 
-  it('spreads prompts without shared parts over the engines', () => {
+  it('spreads prompts without shared parts over engines', () => {
     const { submit } = setUp();
-    const readers = [submit(job({}, 'x')), submit(job({}, 'y'))].map(placementOf);
-    expect(new Set(readers.map((placement) => placement?.reader)).size).to.equal(2);
+    const prefillEngines = [submit(job({}, 'x')), submit(job({}, 'y'))].map(placementOf);
+    expect(new Set(prefillEngines.map((placement) => placement?.reader)).size).to.equal(2);
   });
 
-  it('leaves a prompt to the engine that generates where that reads it before others hand it over', () => {
+  it('prefills on the decode engine if that is faster than a handoff', () => {
     const { submit } = setUp();
     const placement = placementOf(submit(job({}, 'bb', 500)));
     expect(placement?.reader).to.equal(undefined);
     expect(placement?.generator).to.equal('g1');
   });
 
-  it('turns a request away at once when it cannot be on time', () => {
+  it('declines a request at once that cannot meet its objective', () => {
     const { submit } = setUp([engine('r1', 'prefill'), engine('g1', 'decode')], ON_TIME_ONLY);
     const decisions: (Decision | undefined)[] = [];
     for (let index = 0; index < 30; index += 1) {
@@ -180,8 +178,11 @@
     }
   });
 
-  it('lets what can be on time go before what will be late', () => {
-    const { submit, submitUntilOneWaits, scheduler, decisions } = setUp(ONE_READER, QUEUES_ONLY);
+  it('starts requests that can meet their objective before late ones', () => {
+    const { submit, submitUntilOneWaits, scheduler, decisions } = setUp(
+      ONE_PREFILL_ENGINE,
+      NO_LOCAL_PREFILL,
+    );
     const [first] = submitUntilOneWaits();
     const late = job({ isReturn: true, aimLeftMs: 20 }, 'late');
     const punctual = job({}, 'punctual');
@@ -195,8 +196,11 @@
     expect(decisions.has(late.id)).to.equal(false);
   });
 
-  it('gives up on a late request that waits much longer than it was to, well before its deadline', async () => {
-    const { submit, submitUntilOneWaits, decisions, advance } = setUp(ONE_READER, QUEUES_ONLY);
+  it('declines a late request that waits much longer than estimated, before its deadline', async () => {
+    const { submit, submitUntilOneWaits, decisions, advance } = setUp(
+      ONE_PREFILL_ENGINE,
+      NO_LOCAL_PREFILL,
+    );
     submitUntilOneWaits();
     const late = job({ isReturn: true, aimLeftMs: 20, timeLeftMs: 1_000 }, 'late');
     submit(late);
@@ -206,36 +210,39 @@
     expect(decisions.get(late.id)).to.include({ kind: 'declined', reason: 'cannot-be-on-time' });
   });
 
-  it('reads the prompt first that has the least time to spare', () => {
-    const { submit, submitUntilOneWaits, scheduler, decisions } = setUp(ONE_READER, QUEUES_ONLY);
+  it('prefills the prompt with the earliest deadline first', () => {
+    const { submit, submitUntilOneWaits, scheduler, decisions } = setUp(
+      ONE_PREFILL_ENGINE,
+      NO_LOCAL_PREFILL,
+    );
     const running = submitUntilOneWaits({ aimLeftMs: 3_000 });
-    const patient = job({ aimLeftMs: 2_000 }, 'patient');
-    const pressing = job({ aimLeftMs: 300 }, 'pressing');
-    submit(patient);
-    submit(pressing);
+    const later = job({ aimLeftMs: 2_000 }, 'patient');
+    const urgent = job({ aimLeftMs: 300 }, 'pressing');
+    submit(later);
+    submit(urgent);
     scheduler.prefillCompleted(running[0]?.id ?? '');
-    expect(decisions.has(pressing.id)).to.equal(true);
-    expect(decisions.has(patient.id)).to.equal(false);
+    expect(decisions.has(urgent.id)).to.equal(true);
+    expect(decisions.has(later.id)).to.equal(false);
   });
 
-  it('takes no prompt that would make one late which is as urgent', () => {
-    const { submit, submitUntilOneWaits } = setUp(ONE_READER, ON_TIME_ONLY);
+  it('declines a prompt that would make one of the same rank late', () => {
+    const { submit, submitUntilOneWaits } = setUp(ONE_PREFILL_ENGINE, ON_TIME_ONLY);
     submitUntilOneWaits({ aimLeftMs: 150 });
     const first = job({ aimLeftMs: 150, rank: 1 }, 'first');
     submit(first);
-    const pressing = job({ aimLeftMs: 149, rank: 1 }, 'pressing', 12_000);
-    expect(submit(pressing)).to.include({ kind: 'declined' });
+    const urgent = job({ aimLeftMs: 149, rank: 1 }, 'pressing', 12_000);
+    expect(submit(urgent)).to.include({ kind: 'declined' });
   });
 
-  it('lets first attempts wait that will be late, where there will be time', () => {
-    const { submit, submitUntilOneWaits, decisions } = setUp(ONE_READER, QUEUES_ONLY);
+  it('queues late first attempts if there will be spare capacity', () => {
+    const { submit, submitUntilOneWaits, decisions } = setUp(ONE_PREFILL_ENGINE, NO_LOCAL_PREFILL);
     submitUntilOneWaits();
     const late = job({ aimLeftMs: 20, timeLeftMs: 5_000 }, 'late');
     submit(late);
     expect(decisions.has(late.id)).to.equal(false);
   });
 
-  it('does not let prompts be read so long between tokens that running streams pause', () => {
+  it('limits local prefills to keep the inter-token latency of running streams', () => {
     const { submit } = setUp([engine('g1', 'decode')]);
     submit(job({ isRead: true }));
     const short = submit(job({ pauseMs: 100 }, 'short', 5_000));
@@ -243,21 +250,21 @@
     expect([short?.kind, second?.kind]).to.deep.equal(['placed', 'declined']);
   });
 
-  it('asks engines that it does not know what they have cached', async () => {
+  it('loads the cached parts of unknown engines', async () => {
     const parts = ['aa', 'bb'].map((id) => ({
       model: 'm',
       id,
       tokens: id === 'aa' ? 1_000 : 4_000,
     }));
-    const known = createKnownPaces();
-    const { submit, advance } = setUp(engines, QUEUES_ONLY, known, { r2: parts });
+    const latencyModels = createTrainedModels();
+    const { submit, advance } = setUp(engines, NO_LOCAL_PREFILL, latencyModels, { r2: parts });
     submit(job({}, 'other'));
     await advance(1);
     expect(placementOf(submit(job()))?.reader).to.equal('r2');
   });
 
-  it('turns late requests away at once while engines have no time beside what is on time', async () => {
-    const { submit, scheduler, advance } = setUp(ONE_READER, QUEUES_ONLY);
+  it('declines late requests at once without spare capacity', async () => {
+    const { submit, scheduler, advance } = setUp(ONE_PREFILL_ENGINE, NO_LOCAL_PREFILL);
     for (let index = 0; index < 300; index += 1) {
       const punctual = job({}, `on-time-${index}`);
       submit(punctual);
@@ -273,8 +280,8 @@
     expect(late?.kind === 'declined' && late.retryAfterMs).to.be.above(300);
   });
 
-  it('takes requests as on time again after a spell in which many came late', async () => {
-    const { submit, scheduler, advance } = setUp(ONE_READER, ON_TIME_ONLY);
+  it('admits requests again after a period of many late ones', async () => {
+    const { submit, scheduler, advance } = setUp(ONE_PREFILL_ENGINE, ON_TIME_ONLY);
     for (let index = 0; index < 80; index += 1) {
       const delayed = job({ aimLeftMs: 2_000 }, `delayed-${index}`);
       submit(delayed);
@@ -287,17 +294,21 @@
     expect(submit(job({ aimLeftMs: 300 }, 'next'))).to.include({ kind: 'placed' });
   });
 
-  it('gives each engine one read while nothing is known of their pace', () => {
+  it('gives each engine one prefill at a time without latency samples', () => {
     const { submit, scheduler, decisions } = setUp(engines, {}, createLatencyModels());
     const jobs = ['a', 'b', 'c'].map((part) => job({}, part));
-    const readers = jobs.map((submitted) => placementOf(submit(submitted))?.reader);
-    expect(readers).to.deep.equal(['r1', 'r2', undefined]);
+    const prefillEngines = jobs.map((submitted) => placementOf(submit(submitted))?.reader);
+    expect(prefillEngines).to.deep.equal(['r1', 'r2', undefined]);
     scheduler.prefillCompleted(jobs[0]?.id ?? '');
     expect(placementOf(decisions.get(jobs[2]?.id ?? ''))?.reader).to.equal('r1');
   });
 
-  it('learns from single reads how long the next ones take', async () => {
-    const { submit, scheduler, advance } = setUp(ONE_READER, ON_TIME_ONLY, createLatencyModels());
+  it('estimates prefill times after a single prefill', async () => {
+    const { submit, scheduler, advance } = setUp(
+      ONE_PREFILL_ENGINE,
+      ON_TIME_ONLY,
+      createLatencyModels(),
+    );
     const first = job({ aimLeftMs: 600 }, 'a');
     submit(first);
     await advance(100);
@@ -309,27 +320,27 @@
     expect(outcomes.filter((kind) => kind !== 'declined')).to.have.length(4);
   });
 
-  it('leaves an engine alone that cannot be reached, whichever gateway says so', () => {
+  it('avoids an engine that is reported as unreachable', () => {
     const { submit, scheduler } = setUp();
-    const reader = loseThree(submit, scheduler, () => job({}, 'x'))?.reader;
-    const readers = new Set<string | undefined>();
+    const failed = failThree(submit, scheduler, () => job({}, 'x'))?.reader;
+    const prefillEngines = new Set<string | undefined>();
     for (let index = 0; index < 4; index += 1) {
       const submitted = job({}, 'x');
-      readers.add(placementOf(submit(submitted))?.reader);
+      prefillEngines.add(placementOf(submit(submitted))?.reader);
       scheduler.prefillCompleted(submitted.id);
     }
-    expect(readers).not.to.include(reader);
+    expect(prefillEngines).not.to.include(failed);
   });
 
-  it('gives an engine that was left alone one request until it works again', async () => {
+  it('gives an avoided engine one request as a trial', async () => {
     const { submit, scheduler, advance } = setUp();
-    expect(loseThree(submit, scheduler, () => job({ isRead: true }))?.generator).to.equal('g1');
+    expect(failThree(submit, scheduler, () => job({ isRead: true }))?.generator).to.equal('g1');
     await advance(600);
     const taken = [1, 2, 3].map(() => placementOf(submit(job({ isRead: true })))?.generator);
     expect(taken.filter((id) => id === 'g1')).to.have.length(1);
   });
 
-  it('leaves an engine alone from which no generation begins', async () => {
+  it('avoids a decode engine that sends no first event', async () => {
     const { submit, advance } = setUp();
     expect(placementOf(submit(job({ isRead: true })))?.generator).to.equal('g1');
     await advance(450);
@@ -337,7 +348,7 @@
     expect(new Set(next)).to.deep.equal(new Set(['g2']));
   });
 
-  it('places an urgent request at an engine that is full of less urgent ones', () => {
+  it('places an urgent request on an engine that is full of less urgent ones', () => {
     const { submit } = setUp([engine('r1', 'prefill'), engine('g1', 'decode')]);
     const full = 16 * 1.5;
     for (let index = 0; index < full; index += 1) {
@@ -347,7 +358,7 @@
     expect(submit(job({ rank: 0, isRead: true }))?.kind).to.equal('placed');
   });
 
-  it('gives an engine no more than it can hold, whatever the rank', () => {
+  it('limits the requests on an engine regardless of rank', () => {
     const { submit } = setUp([engine('r1', 'prefill'), engine('g1', 'decode')]);
     const placed = Array.from({ length: 80 }, (_, index) =>
       submit(job({ rank: index % 4, isRead: true })),
@@ -355,15 +366,15 @@
     expect(placed.filter((decision) => decision?.kind === 'placed').length).to.be.at.most(48);
   });
 
-  it('uses engines that seem unsound where there are no others', () => {
+  it('uses unhealthy engines if there are no others', () => {
     const { submit, scheduler } = setUp([engine('r1', 'prefill'), engine('g1', 'decode')]);
-    loseThree(submit, scheduler, () => job({ isRead: true }));
+    failThree(submit, scheduler, () => job({ isRead: true }));
     expect(placementOf(submit(job({ isRead: true })))?.generator).to.equal('g1');
   });
 
-  it('starts what waits at engines that all seem unsound, without end', () => {
+  it('starts all waiting requests when all engines are unhealthy, without a loop', () => {
     const fleet = [engine('r1', 'prefill'), engine('r2', 'prefill'), engine('g1', 'decode')];
-    const { submit, scheduler, decisions } = setUp(fleet, QUEUES_ONLY);
+    const { submit, scheduler, decisions } = setUp(fleet, NO_LOCAL_PREFILL);
     const jobs: Job[] = [];
     for (let index = 0; index < 28; index += 1) {
       const submitted = job({ aimLeftMs: 5_000, timeLeftMs: 9_000 }, `part-${index}`, 3_000);
@@ -380,16 +391,16 @@
     expect(scheduler.size()).to.equal(0);
   });
 
-  it('expects an engine to take longer the longer it is silent', async () => {
-    const { submit, advance } = setUp(ONE_READER, ON_TIME_ONLY);
+  it('increases the estimate for an engine that is overdue', async () => {
+    const { submit, advance } = setUp(ONE_PREFILL_ENGINE, ON_TIME_ONLY);
     submit(job({}, 'x'));
     await advance(200);
     expect(submit(job({}, 'y'))).to.include({ kind: 'declined', reason: 'cannot-be-on-time' });
   });
 
-  it('finds another engine for what waits at one that has left', () => {
-    const fleet = [...ONE_READER];
-    const { submitUntilOneWaits, scheduler, decisions } = setUp(fleet, QUEUES_ONLY);
+  it('reroutes requests that wait for an engine that was removed', () => {
+    const fleet = [...ONE_PREFILL_ENGINE];
+    const { submitUntilOneWaits, scheduler, decisions } = setUp(fleet, NO_LOCAL_PREFILL);
     const jobs = submitUntilOneWaits();
     const waiting = jobs.at(-1)?.id ?? '';
     fleet.splice(0, 1, engine('r2', 'prefill'));
@@ -397,8 +408,11 @@
     expect(placementOf(decisions.get(waiting))?.reader).to.equal('r2');
   });
 
-  it('forgets a request that ended while it waited', () => {
-    const { submitUntilOneWaits, scheduler, decisions } = setUp(ONE_READER, QUEUES_ONLY);
+  it('removes a request that ended while it waited', () => {
+    const { submitUntilOneWaits, scheduler, decisions } = setUp(
+      ONE_PREFILL_ENGINE,
+      NO_LOCAL_PREFILL,
+    );
     const jobs = submitUntilOneWaits();
     const waiting = jobs.at(-1);
     scheduler.finished(waiting?.id ?? '');
@@ -409,14 +423,14 @@
     expect(scheduler.size()).to.equal(0);
   });
 
-  it('refuses where no engine generates', () => {
+  it('declines without a decode engine', () => {
     const { submit } = setUp([engine('r1', 'prefill')]);
     expect(submit(job())).to.include({ kind: 'declined', reason: 'no-engine' });
   });
 });
 
-describe('the choice of the scheduling gateway', () => {
-  it('is the same in every order of the gateways, and goes to the strongest', () => {
+describe('scheduling gateway', () => {
+  it('does not depend on the order of the gateways and prefers more cores', () => {
     const gateways = ['a', 'b', 'c'].map((node) => ({ node, cores: 1 }));
     const chosen = resolveSchedulingGateway('chat', gateways);
     expect(resolveSchedulingGateway('chat', [...gateways].reverse())).to.equal(chosen);
@@ -424,7 +438,7 @@
   });
 });
 
-describe('the submitter of jobs', () => {
+describe('job submitter', () => {
   function setUpSubmitter(isLinked = true) {
     const fake = createFakeClock();
     const sent: SchedulerMessage[] = [];
@@ -458,7 +472,7 @@
     return { ...fake, submitter, sent, local };
   }
 
-  it('places a request itself when schedulers are silent', async () => {
+  it('places a request locally when schedulers do not acknowledge it', async () => {
     const { submitter, local, advance } = setUpSubmitter();
     const decisions: Decision[] = [];
     submitter.submit(job(), (decision) => decisions.push(decision));
@@ -468,7 +482,7 @@
     expect(decisions).to.have.length(1);
   });
 
-  it('moves all requests to the next scheduler once one is silent', async () => {
+  it('fails over all requests of a scheduler that does not acknowledge one', async () => {
     const { submitter, sent, advance } = setUpSubmitter();
     submitter.submit(job(), () => undefined);
     const placed = sent[0]?.kind === 'job.submit' ? sent[0].job.id : '';
@@ -487,7 +501,7 @@
     expect(kinds).to.deep.equal(['job.adopt', 'job.submit', 'job.submit']);
   });
 
-  it('waits for a scheduler that has said it has the request', async () => {
+  it('waits for a scheduler that acknowledged the request', async () => {
     const { submitter, sent, local, advance } = setUpSubmitter();
     submitter.submit(job(), () => undefined);
     const submitted = sent[0]?.kind === 'job.submit' ? sent[0].job.id : '';
@@ -498,7 +512,7 @@
     expect(sent.filter(({ kind }) => kind === 'job.submit')).to.have.length(2);
   });
 
-  it('places a request itself when there is no link', () => {
+  it('places a request locally without a link', () => {
     const { submitter, local } = setUpSubmitter(false);
     submitter.submit(job(), () => undefined);
     expect(local).to.have.length(1);
--- a/tools/replay/replay.ts
+++ b/tools/replay/replay.ts
@@ -69,7 +69,7 @@
   const arrivals = new Map<string, number[]>();
   /** Limits that engines name, in requests a second. */
   const limitsPerS = new Map<string, number>();
-  let paces: LatencyModels = createLatencyModels();
+  let latencyModels: LatencyModels = createLatencyModels();
   let scheduler: Scheduler = startScheduler();
 
   function noteArrival(engine: string): void {
@@ -100,7 +100,7 @@
       clock: time,
       log: createSilentLog(),
       mechanisms,
-      latencyModels: paces,
+      latencyModels,
       engines: listServers,
       cacheTokens: () => fleet.cacheTokens,
       caches: { list: ({ id }) => Promise.resolve(Ok(engines.get(id)?.cached() ?? [])) },
@@ -219,7 +219,7 @@
   }
 
   function loseScheduler(): void {
-    paces = createLatencyModels();
+    latencyModels = createLatencyModels();
     scheduler = startScheduler();
   }
 
