--- a/src/relay/engine-placer.ts
+++ b/src/relay/engine-placer.ts
@@ -146,7 +146,7 @@
     prefills += 1;
     const outcome = await runPrefill(context, engine, timeoutMs);
     if (outcome.kind === 'read') {
-      job?.promptRead();
+      job?.prefillCompleted();
       hasPrefilled = true;
       prefilled = { address: engine.address, handle: outcome.handle };
       holder = engine;
@@ -183,7 +183,7 @@
   return {
     place,
     answerBegun() {
-      job?.begun();
+      job?.firstTokenReceived();
     },
     sendEnded(placed, outcome) {
       // a generator that did not run the request has not fetched the prefilled prompt
