--- a/src/permits/admission.ts
+++ b/src/permits/admission.ts
@@ -5,49 +5,49 @@
  * than its share.
  */
 import type { PermitQuery } from '../links/index.js';
-import { resolveUsualBatch, resolveWorkMs } from './capacity.js';
+import { resolveTypicalBatch, resolveWorkMs } from './capacity.js';
 import type { FairShare } from './fair-share.js';
-import type { Lane } from './queue.js';
+import type { Subqueue } from './queue.js';
 import { hasRoom, type RoomTerms } from './room.js';
 import {
   resolveOutputWeight,
-  tokensAhead,
-  tokensUncached,
-  type Guest,
+  countPrefillQueueTokens,
+  countUncachedTokens,
+  type ClassifiedRequest,
   type Server,
 } from './server.js';
 import { addBacklog, createBacklog, type Backlog, type TeamQueue } from './team-queue.js';
 
 /** When things may be expected, in milliseconds from now. */
-export interface Forecast {
+export interface LatencyEstimate {
   /** Until a permit. */
-  waitMs: number;
+  queueingMs: number;
   /** From the permit to the first token. */
-  readMs: number;
+  prefillMs: number;
   /** From the first token to the end. */
-  writeMs: number;
+  decodeMs: number;
 }
 
-/** A lane, as far as it waits for the servers of a forecast. */
-export interface LanePart {
-  lane: Lane;
+/** A subqueue, as far as it waits for the servers of a forecast. */
+export interface SubqueuePart {
+  subqueue: Subqueue;
   /** From 0 to 1. */
   part: number;
 }
 
 /** What a forecast is made from. */
-export interface ForecastInput {
-  guest: Guest;
+export interface LatencyEstimateInput {
+  request: ClassifiedRequest;
   /** The servers that can serve the request, with room or without. */
   candidates: readonly Server[];
-  /** The lanes of requests for the same servers. */
-  lanes: readonly LanePart[];
+  /** The subqueues of requests for the same servers. */
+  subqueues: readonly SubqueuePart[];
   share: FairShare;
   isFair: boolean;
   /** Factor by which waits turned out longer than foretold. */
   correction: number;
   /** Time between two permits that end, where it is known. */
-  turnMs: number;
+  releaseIntervalMs: number;
   now: number;
   terms: RoomTerms;
 }
@@ -57,29 +57,39 @@
  *
  * @param input the request, the servers and what waits
  */
-export function resolveForecast(input: ForecastInput): Forecast {
-  const { guest, candidates, now } = input;
-  const readMs = resolveReadMs(guest, candidates, now);
-  const writeMs = resolveWriteMs(input);
-  // What stands in other lanes found no room, or it would not stand there.
+export function estimateLatency(input: LatencyEstimateInput): LatencyEstimate {
+  const { request, candidates, now } = input;
+  const readMs = resolvePrefillMs(request, candidates, now);
+  const decodeMs = resolveWriteMs(input);
+  // What stands in other subqueues found no room, or it would not stand there.
   const before = resolveAhead(input, isOwnLane);
-  if (before.requests === 0 && hasAnyRoom(input)) return { waitMs: 0, readMs, writeMs };
+  if (before.requests === 0 && hasAnyRoom(input))
+    return { queueingMs: 0, prefillMs: readMs, decodeMs };
   const ahead = resolveAhead(input, isCompeting);
   const work = resolveWorkMs(candidates, ahead, now, input.terms);
-  return { waitMs: work * input.correction + input.turnMs, readMs, writeMs };
+  return {
+    queueingMs: work * input.correction + input.releaseIntervalMs,
+    prefillMs: readMs,
+    decodeMs: decodeMs,
+  };
 }
 
 /**
  * Least time from a permit to the first token on any of the servers, in milliseconds.
  *
- * @param guest the request
+ * @param request the request
  * @param candidates the servers
  * @param now the time on the holder's clock
  */
-export function resolveReadMs(guest: Guest, candidates: readonly Server[], now: number): number {
+export function resolvePrefillMs(
+  request: ClassifiedRequest,
+  candidates: readonly Server[],
+  now: number,
+): number {
   let least = Number.POSITIVE_INFINITY;
   for (const server of candidates) {
-    const tokens = tokensAhead(server, guest.isLong) + tokensUncached(server, guest.query);
+    const tokens =
+      countPrefillQueueTokens(server, request.isLong) + countUncachedTokens(server, request.query);
     const { rates, vm } = server;
     const callMs = vm.kind === 'plain-service' ? rates.callMs(now) : 0;
     least = Math.min(least, rates.firstTokenMs(tokens, now) + callMs);
@@ -87,51 +97,51 @@
   return least;
 }
 
-function resolveWriteMs({ guest, candidates, now, terms }: ForecastInput): number {
+function resolveWriteMs({ request, candidates, now, terms }: LatencyEstimateInput): number {
   let least = Number.POSITIVE_INFINITY;
   for (const server of candidates) {
-    const batch = resolveUsualBatch(server, now, terms);
+    const batch = resolveTypicalBatch(server, now, terms);
     least = Math.min(least, server.rates.stepMs(batch, now));
   }
-  return guest.query.expectedOutputTokens * least;
+  return request.query.expectedOutputTokens * least;
 }
 
-function hasAnyRoom({ guest, candidates, now, terms }: ForecastInput): boolean {
+function hasAnyRoom({ request, candidates, now, terms }: LatencyEstimateInput): boolean {
   for (const server of candidates) {
-    if (hasRoom(server, guest, now, terms)) return true;
+    if (hasRoom(server, request, now, terms)) return true;
   }
   return false;
 }
 
-/** Whether a request would stand in a lane. */
-function isOwnLane(guest: Guest, lane: Lane): boolean {
-  return lane.isLong === guest.isLong && lane.isBeyondShare === guest.isBeyondShare;
+/** Whether a request would stand in a subqueue. */
+function isOwnLane(request: ClassifiedRequest, subqueue: Subqueue): boolean {
+  return subqueue.isLong === request.isLong && subqueue.isBeyondShare === request.isBeyondShare;
 }
 
 /** Short prompts pass long ones by, and teams within their share those beyond it. */
-function isCompeting(guest: Guest, lane: Lane): boolean {
-  if (lane.isBeyondShare && !guest.isBeyondShare) return false;
-  return guest.isLong || !lane.isLong;
+function isCompeting(request: ClassifiedRequest, subqueue: Subqueue): boolean {
+  if (subqueue.isBeyondShare && !request.isBeyondShare) return false;
+  return request.isLong || !subqueue.isLong;
 }
 
-/** Work whose turn comes before the request's, in the lanes that count. */
+/** Work whose turn comes before the request's, in the subqueues that count. */
 function resolveAhead(
-  input: ForecastInput,
-  counts: (guest: Guest, lane: Lane) => boolean,
+  input: LatencyEstimateInput,
+  counts: (request: ClassifiedRequest, subqueue: Subqueue) => boolean,
 ): Backlog {
-  const { guest, share } = input;
-  const { query } = guest;
-  const lanes = input.lanes.filter(({ lane }) => counts(guest, lane));
+  const { request, share } = input;
+  const { query } = request;
+  const subqueues = input.subqueues.filter(({ subqueue }) => counts(request, subqueue));
   const ahead = createBacklog();
-  for (const { lane, part } of lanes) {
-    const queue = lane.teams.get(query.team);
+  for (const { subqueue, part } of subqueues) {
+    const queue = subqueue.teams.get(query.team);
     if (queue !== undefined) addBacklog(ahead, queue.backlog(query.priority), part);
   }
   const outputWeight = resolveLeastOutputWeight(input.candidates);
   const own = tokensOf(ahead, outputWeight) + tokensOfQuery(query, outputWeight);
   const finish = share.served(query.team) + own / query.weight;
-  for (const { lane, part } of lanes) {
-    for (const queue of lane.teams.values()) {
+  for (const { subqueue, part } of subqueues) {
+    for (const queue of subqueue.teams.values()) {
       if (queue.team === query.team) continue;
       const before = input.isFair ? shareBefore(queue, share, finish, outputWeight) : 1;
       const others = input.isFair ? queue.backlog() : queue.backlog(query.priority);
--- a/src/permits/capacity.ts
+++ b/src/permits/capacity.ts
@@ -40,7 +40,7 @@
  * @param now the time on the holder's clock
  * @param terms which bounds hold
  */
-export function resolveUsualBatch(server: Server, now: number, terms: RoomTerms): number {
+export function resolveTypicalBatch(server: Server, now: number, terms: RoomTerms): number {
   const limit = Math.max(LEAST_PLACES, resolveLimit(server, now, terms));
   return Math.max(1, Math.floor(limit * USUAL_BATCH_SHARE));
 }
@@ -51,9 +51,9 @@
   if (server.vm.kind === 'plain-service') {
     return (work.requests * rates.callMs(now)) / places;
   }
-  const batch = resolveUsualBatch(server, now, terms);
-  const readMs = work.promptTokens / Math.max(Number.MIN_VALUE, rates.tokensReadIn(1, now));
-  const writeMs = (work.outputTokens * rates.stepMs(batch, now)) / batch;
+  const batch = resolveTypicalBatch(server, now, terms);
+  const readMs = work.promptTokens / Math.max(Number.MIN_VALUE, rates.tokensPrefilledIn(1, now));
+  const decodeMs = (work.outputTokens * rates.stepMs(batch, now)) / batch;
   // Both rates were learned while the other work went on beside, so the longer one is the time.
-  return Math.max(readMs, writeMs);
+  return Math.max(readMs, decodeMs);
 }
--- a/src/permits/choice.ts
+++ b/src/permits/choice.ts
@@ -6,29 +6,34 @@
 import type { PermitQuery } from '../links/index.js';
 import type { LineFit } from './line-fit.js';
 import { hasRoom, type RoomTerms } from './room.js';
-import { tokensAhead, tokensUncached, type Guest, type Server } from './server.js';
+import {
+  countPrefillQueueTokens,
+  countUncachedTokens,
+  type ClassifiedRequest,
+  type Server,
+} from './server.js';
 
 /** Says how much of a prompt a server still has to read. */
 export interface CacheView {
-  tokensToRead(server: Server, query: PermitQuery): number;
+  countUncachedTokens(server: Server, query: PermitQuery): number;
 }
 
 /** Counts the part of the prompt that a server has cached as read. */
 export class IndexedCache implements CacheView {
-  tokensToRead(server: Server, query: PermitQuery): number {
-    return tokensUncached(server, query);
+  countUncachedTokens(server: Server, query: PermitQuery): number {
+    return countUncachedTokens(server, query);
   }
 }
 
 /** Takes no cache into account: the whole prompt counts on every server. */
 export class NoCache implements CacheView {
-  tokensToRead(_server: Server, query: PermitQuery): number {
+  countUncachedTokens(_server: Server, query: PermitQuery): number {
     return query.promptTokens;
   }
 }
 
 /** Where a request goes. */
-export interface Chosen {
+export interface ServerChoice {
   server: Server;
   /** The server that reads the prompt, when it is another. */
   prefill: Server | undefined;
@@ -36,7 +41,7 @@
 
 /** What a choice is made from. */
 export interface ChoiceInput {
-  guest: Guest;
+  request: ClassifiedRequest;
   /** Servers that can serve the request, with room or without. */
   candidates: readonly Server[];
   cache: CacheView;
@@ -48,7 +53,7 @@
   terms: RoomTerms;
 }
 
-interface Offer extends Chosen {
+interface Offer extends ServerChoice {
   costMs: number;
 }
 
@@ -57,7 +62,7 @@
  *
  * @param input the request, the servers and what is known of them
  */
-export function chooseServer(input: ChoiceInput): Chosen | undefined {
+export function chooseServer(input: ChoiceInput): ServerChoice | undefined {
   const direct = findDirect(input);
   const split = input.handover ? findSplit(input) : undefined;
   if (direct === undefined) return split;
@@ -65,12 +70,13 @@
 }
 
 function findDirect(input: ChoiceInput): Offer | undefined {
-  const { guest, now } = input;
+  const { request, now } = input;
   let best: Offer | undefined;
   for (const server of listWithRoom(input)) {
     if (server.role !== 'mixed') continue;
     const costMs =
-      (readMs(server, input) + resolveSharedWriteMs(server, guest, now)) * doubtOf(server);
+      (readMs(server, input) + resolveSharedDecodeMs(server, request, now)) *
+      resolveHealthPenalty(server);
     if (best === undefined || costMs < best.costMs) best = { server, prefill: undefined, costMs };
   }
   return best;
@@ -78,14 +84,14 @@
 
 /** The best engine to read on and the best one to generate on, when one of them has a role. */
 function findSplit(input: ChoiceInput): Offer | undefined {
-  const { guest, handoverMs, now } = input;
+  const { request, handoverMs, now } = input;
   let reader: Server | undefined;
   let writer: Server | undefined;
   let leastReadMs = Number.POSITIVE_INFINITY;
   let leastWriteMs = Number.POSITIVE_INFINITY;
   for (const server of listWithRoom(input)) {
-    const read = readMs(server, input) * doubtOf(server);
-    const write = resolveSharedWriteMs(server, guest, now) * doubtOf(server);
+    const read = readMs(server, input) * resolveHealthPenalty(server);
+    const write = resolveSharedDecodeMs(server, request, now) * resolveHealthPenalty(server);
     if (server.role === 'prefill' && read < leastReadMs) {
       reader = server;
       leastReadMs = read;
@@ -96,38 +102,45 @@
     }
   }
   if (reader === undefined || writer === undefined) return undefined;
-  const handedMs = handoverMs.valueAt(guest.query.promptTokens, now);
+  const handedMs = handoverMs.valueAt(request.query.promptTokens, now);
   return { server: writer, prefill: reader, costMs: leastReadMs + handedMs + leastWriteMs };
 }
 
-function listWithRoom({ candidates, guest, now, terms }: ChoiceInput): Server[] {
+function listWithRoom({ candidates, request, now, terms }: ChoiceInput): Server[] {
   const withRoom: Server[] = [];
   for (const server of candidates) {
-    if (hasRoom(server, guest, now, terms)) withRoom.push(server);
+    if (hasRoom(server, request, now, terms)) withRoom.push(server);
   }
   return withRoom;
 }
 
-function readMs(server: Server, { guest, cache, now }: ChoiceInput): number {
-  const toRead = cache.tokensToRead(server, guest.query);
-  return server.rates.firstTokenMs(tokensAhead(server, guest.isLong) + toRead, now);
+function readMs(server: Server, { request, cache, now }: ChoiceInput): number {
+  const uncachedTokens = cache.countUncachedTokens(server, request.query);
+  return server.rates.firstTokenMs(
+    countPrefillQueueTokens(server, request.isLong) + uncachedTokens,
+    now,
+  );
 }
 
 /**
  * Time of an answer's tokens on a server, with what they add to every other answer there.
  *
  * @param server the server
- * @param guest the request
+ * @param request the request
  * @param now the time on the holder's clock
  */
-export function resolveSharedWriteMs(server: Server, guest: Guest, now: number): number {
+export function resolveSharedDecodeMs(
+  server: Server,
+  request: ClassifiedRequest,
+  now: number,
+): number {
   const { rates, permits, slots } = server;
   const batch = permits.size;
   const alongsideMs = rates.stepMs(batch + 1, now);
   const slowdownMs = (alongsideMs - rates.stepMs(batch, now)) * batch;
   // Idle workers of a plain service are told apart by their load alone.
   const loadMs = (rates.callMs(now) * batch) / Math.max(1, slots);
-  return guest.query.expectedOutputTokens * (alongsideMs + slowdownMs) + loadMs;
+  return request.query.expectedOutputTokens * (alongsideMs + slowdownMs) + loadMs;
 }
 
 /**
@@ -135,6 +148,6 @@
  *
  * @param server the server
  */
-export function doubtOf(server: Server): number {
-  return 1 + server.health.doubt();
+export function resolveHealthPenalty(server: Server): number {
+  return 1 + server.health.failureScore();
 }
--- a/src/permits/eligibility.ts
+++ b/src/permits/eligibility.ts
@@ -9,7 +9,7 @@
 const MAX_SILENCES = 2;
 
 /** What the configuration in force says of a server. */
-export interface Membership {
+export interface GroupMembership {
   /** Whether a server belongs to a group. */
   isMember(group: string, vm: Vm): boolean;
   /** Whether operators or the platform's list took a server out of use. */
@@ -22,8 +22,8 @@
  * @param server its tally
  * @param membership the configuration in force
  */
-export function isUsable(server: Server, membership: Membership): boolean {
-  if (server.incarnation === '' || server.silences >= MAX_SILENCES) return false;
+export function isUsable(server: Server, membership: GroupMembership): boolean {
+  if (server.incarnation === '' || server.missedAnswers >= MAX_SILENCES) return false;
   if (server.busy || server.leaving || server.heldForOrder) return false;
   return !membership.isWithdrawn(server.vm);
 }
@@ -35,7 +35,7 @@
  * @param query the request
  * @param membership the configuration in force
  */
-export function canServe(server: Server, query: PermitQuery, membership: Membership): boolean {
+export function canServe(server: Server, query: PermitQuery, membership: GroupMembership): boolean {
   if (!isUsable(server, membership) || query.avoid.includes(server.vm.id)) return false;
   if (!membership.isMember(query.group, server.vm)) return false;
   if (server.vm.kind === 'plain-service') return true;
--- a/src/permits/fair-share.ts
+++ b/src/permits/fair-share.ts
@@ -19,10 +19,10 @@
 /** The account of every team. */
 export interface FairShare {
   /** A team begins to wait. */
-  enter(team: string): void;
+  activate(team: string): void;
   charge(charge: TeamCharge): void;
   /** The least served of those that wait stands here now; never goes back. */
-  advance(served: number): void;
+  advanceFloor(served: number): void;
   served(team: string): number;
   /** The team's band; lower goes first. */
   band(team: string): number;
@@ -55,14 +55,14 @@
   }
 
   return {
-    enter(team) {
+    activate(team) {
       accounts.set(team, served(team));
       prune();
     },
     charge({ team, weight, tokens }) {
       accounts.set(team, served(team) + tokens / weight);
     },
-    advance(least) {
+    advanceFloor(least) {
       floor = Math.max(floor, least);
     },
     served,
--- a/src/permits/feedback.ts
+++ b/src/permits/feedback.ts
@@ -4,7 +4,7 @@
  */
 import type { PermitProgress, PermitRelease } from '../links/index.js';
 import type { LineFit } from './line-fit.js';
-import type { Verdict } from './server-health.js';
+import type { HealthSample } from './server-health.js';
 import { resolveOutputWeight, type GrantedPermit, type Server } from './server.js';
 
 /** A first token is slow when it took this many times as long as expected, and longer than `SLOW_MS`. */
@@ -20,20 +20,20 @@
  * @param firstTokenMs time from the call to the first token
  * @param now the time on the holder's clock
  */
-export function learnFirstToken(
+export function recordFirstToken(
   server: Server,
   permit: GrantedPermit,
   firstTokenMs: number,
   now: number,
 ): void {
-  const { reading } = permit;
-  if (reading === undefined) return;
-  server.prefixes.add(reading.prefixes);
-  server.rates.observeFirstToken(reading.tokensAhead, firstTokenMs, now);
-  if (!reading.isOverdue && isSlow(firstTokenMs, reading.expectedMs))
-    server.health.note('bad', now);
-  permit.reading = undefined;
-  server.readers.delete(permit.permitId);
+  const { pendingPrefill: pendingPrefill } = permit;
+  if (pendingPrefill === undefined) return;
+  server.prefixes.add(pendingPrefill.prefixes);
+  server.rates.observeFirstToken(pendingPrefill.tokensToFirstToken, firstTokenMs, now);
+  if (!pendingPrefill.isCountedAsSlow && isSlow(firstTokenMs, pendingPrefill.expectedMs))
+    server.health.record('bad', now);
+  permit.pendingPrefill = undefined;
+  server.prefilling.delete(permit.permitId);
 }
 
 /**
@@ -42,24 +42,24 @@
  * @param server the server to look at
  * @param now the time on the holder's clock
  */
-export function learnOverdue(server: Server, now: number): void {
-  for (const { reading, grantedAt } of server.readers.values()) {
-    if (reading === undefined || reading.isOverdue) continue;
-    if (!isSlow(now - grantedAt, reading.expectedMs)) continue;
-    reading.isOverdue = true;
-    server.health.note('bad', now);
+export function recordOverdue(server: Server, now: number): void {
+  for (const { pendingPrefill: pendingPrefill, grantedAt } of server.prefilling.values()) {
+    if (pendingPrefill === undefined || pendingPrefill.isCountedAsSlow) continue;
+    if (!isSlow(now - grantedAt, pendingPrefill.expectedMs)) continue;
+    pendingPrefill.isCountedAsSlow = true;
+    server.health.record('bad', now);
   }
 }
 
 /**
- * Takes in how long a handover took beyond the reading of the prompt.
+ * Takes in how long a handover took beyond the pendingPrefill of the prompt.
  *
  * @param handoverMs the line to teach
  * @param permit the permit
  * @param progress the router's word on its first token
  * @param now the time on the holder's clock
  */
-export function learnHandover(
+export function recordHandover(
   handoverMs: LineFit,
   permit: GrantedPermit,
   progress: PermitProgress,
@@ -78,16 +78,16 @@
  * @param release the router's word on its end
  * @param now the time on the holder's clock
  */
-export function learnRelease(
+export function recordRelease(
   server: Server,
   permit: GrantedPermit,
   release: PermitRelease,
   now: number,
 ): void {
   const { firstTokenMs } = release;
-  if (firstTokenMs !== undefined) learnFirstToken(server, permit, firstTokenMs, now);
+  if (firstTokenMs !== undefined) recordFirstToken(server, permit, firstTokenMs, now);
   const verdict = resolveVerdict(release.result);
-  if (verdict !== undefined) server.health.note(verdict, now);
+  if (verdict !== undefined) server.health.record(verdict, now);
   if (release.result !== 'answered') return;
   if (server.vm.kind === 'plain-service') {
     server.rates.observeCall(release.totalMs, now);
@@ -121,7 +121,7 @@
   server.rates.observeStep(batch, ms, now);
 }
 
-function resolveVerdict(result: PermitRelease['result']): Verdict | undefined {
+function resolveVerdict(result: PermitRelease['result']): HealthSample | undefined {
   if (result === 'cancelled') return undefined;
   return result === 'answered' ? 'good' : 'bad';
 }
--- a/src/permits/granting.ts
+++ b/src/permits/granting.ts
@@ -2,15 +2,15 @@
  * What a holder writes down, and what it tells the router, when it grants a permit.
  */
 import type { Permit } from '../links/index.js';
-import type { Chosen } from './choice.js';
+import type { ServerChoice } from './choice.js';
 import { resolveEnginePriority } from './engine-priority.js';
-import type { Waiting } from './queue.js';
+import type { WaitingRequest } from './queue.js';
 import {
   resolveOutputWeight,
-  tokensAhead,
-  tokensUncached,
+  countPrefillQueueTokens,
+  countUncachedTokens,
   type GrantedPermit,
-  type Reading,
+  type PendingPrefill,
   type Server,
 } from './server.js';
 
@@ -40,7 +40,11 @@
  * @param chosen where it goes
  * @param terms who grants
  */
-export function createGrant(waiting: Waiting, chosen: Chosen, terms: GrantTerms): Grant {
+export function createGrant(
+  waiting: WaitingRequest,
+  chosen: ServerChoice,
+  terms: GrantTerms,
+): Grant {
   const { server, prefill } = chosen;
   const permit = createPermit(waiting, chosen, terms);
   if (prefill === undefined) {
@@ -51,7 +55,7 @@
   reader.permitId = resolvePrefillId(terms.permitId);
   reader.outputTokens = 0;
   const granted = createGranted(waiting, server, terms);
-  granted.reading = undefined;
+  granted.pendingPrefill = undefined;
   granted.charged = reader.charged;
   granted.prefillServer = prefill.vm.id;
   return { permit, granted, prefill: reader };
@@ -60,7 +64,7 @@
 const PREFILL_SUFFIX = '/prefill';
 
 /**
- * The id under which the reading of a prompt on another server is counted.
+ * The id under which the pendingPrefill of a prompt on another server is counted.
  *
  * @param permitId id of the permit
  */
@@ -77,7 +81,11 @@
   return id.endsWith(PREFILL_SUFFIX) ? id.slice(0, -PREFILL_SUFFIX.length) : id;
 }
 
-function createPermit(waiting: Waiting, { server, prefill }: Chosen, terms: GrantTerms): Permit {
+function createPermit(
+  waiting: WaitingRequest,
+  { server, prefill }: ServerChoice,
+  terms: GrantTerms,
+): Permit {
   const { query, isLong } = waiting;
   const { permitId, shard, fence, isBeyondShare } = terms;
   const { priority } = query;
@@ -87,16 +95,16 @@
     fence,
     server: server.vm.id,
     address: server.vm.address,
-    waitedMs: terms.now - waiting.since,
+    waitedMs: terms.now - waiting.arrivedAt,
     enginePriority: resolveEnginePriority({ priority, isBeyondShare, isLong }),
   };
   if (prefill === undefined) return permit;
   return { ...permit, prefill: { server: prefill.vm.id, address: prefill.vm.address } };
 }
 
-function createGranted(waiting: Waiting, server: Server, terms: GrantTerms): GrantedPermit {
+function createGranted(waiting: WaitingRequest, server: Server, terms: GrantTerms): GrantedPermit {
   const { query, isLong } = waiting;
-  const tokens = tokensUncached(server, query);
+  const tokens = countUncachedTokens(server, query);
   return {
     permitId: terms.permitId,
     requestId: query.requestId,
@@ -114,21 +122,28 @@
     batch: server.permits.size + 1,
     prefillServer: undefined,
     grantedAt: terms.now,
-    reading: createReading(waiting, server, tokens, terms.now),
+    pendingPrefill: createReading(waiting, server, tokens, terms.now),
   };
 }
 
 function createReading(
-  { query, isLong, firstTokenBy }: Waiting,
+  { query, isLong, firstTokenDeadline }: WaitingRequest,
   server: Server,
   tokens: number,
   now: number,
-): Reading | undefined {
+): PendingPrefill | undefined {
   if (server.vm.kind === 'plain-service') return undefined;
-  const ahead = tokensAhead(server, isLong) + tokens;
+  const ahead = countPrefillQueueTokens(server, isLong) + tokens;
   const expectedMs = server.rates.firstTokenMs(ahead, now);
   const { prefixes } = query;
-  return { prefixes, tokens, tokensAhead: ahead, expectedMs, firstTokenBy, isOverdue: false };
+  return {
+    prefixes,
+    uncachedTokens: tokens,
+    tokensToFirstToken: ahead,
+    expectedMs,
+    firstTokenDeadline: firstTokenDeadline,
+    isCountedAsSlow: false,
+  };
 }
 
 /** A permit that a router says it uses, granted by an earlier holder. */
@@ -151,7 +166,7 @@
  * @param server the permit's server
  * @param now the time on the holder's clock
  */
-export function createAdopted(
+export function createAdoptedPermit(
   adopted: AdoptedPermit,
   node: string,
   server: Server,
@@ -170,6 +185,6 @@
     batch: server.permits.size + 1,
     prefillServer: undefined,
     grantedAt: now,
-    reading: undefined,
+    pendingPrefill: undefined,
   };
 }
--- a/src/permits/line-fit.ts
+++ b/src/permits/line-fit.ts
@@ -13,7 +13,7 @@
 /** A line that is learned. Times are milliseconds on one clock. */
 export interface LineFit {
   /** Puts other points in place of the assumed ones. */
-  anchor(points: readonly Point[]): void;
+  setAnchors(points: readonly Point[]): void;
   observe(point: Point, now: number): void;
   /** The line's value, never negative. */
   valueAt(x: number, now: number): number;
@@ -72,7 +72,7 @@
   }
 
   return {
-    anchor(points) {
+    setAnchors(points) {
       assumed = sumOf(points);
     },
     observe({ x, y }, now) {
--- a/src/permits/output-estimate.ts
+++ b/src/permits/output-estimate.ts
@@ -19,7 +19,7 @@
 export interface OutputEstimate {
   observe(key: EstimateKey, tokens: number): void;
   /** @param assumed what to say before anything was observed */
-  expect(key: EstimateKey, assumed: number): number;
+  estimate(key: EstimateKey, assumed: number): number;
 }
 
 /** Creates an estimate that has seen nothing. */
@@ -36,7 +36,7 @@
       learn(byTeam, nameOf(key), tokens);
       learn(byClass, key.class, tokens);
     },
-    expect: (key, assumed) =>
+    estimate: (key, assumed) =>
       Math.ceil(byTeam.get(nameOf(key)) ?? byClass.get(key.class) ?? assumed),
   };
 }
--- a/src/permits/queue.ts
+++ b/src/permits/queue.ts
@@ -1,9 +1,8 @@
 /**
- * The requests that wait for a shard, in lanes: a lane holds those that wait for the same server, or
- * that any of the same servers could take, so that one which finds no room holds up only its like.
- * Short and long prompts, and teams within and beyond their share, have lanes of their own for the
- * same reason. Within a lane teams take turns by their fair share, and
- * within a team the most urgent goes first. Every change costs the logarithm of the number waiting.
+ * The queue of a shard, split into subqueues to avoid head-of-line blocking: requests are separated
+ * by the server that they wait for or the set of servers that can take them, by short and long
+ * prompts, and by teams within and beyond their fair share. Within a subqueue, teams are ordered by
+ * fair queueing, and the requests of a team by priority and deadline. A change takes O(log n).
  */
 import type { PermitAnswer, PermitQuery } from '../links/index.js';
 import type { FairShare, TeamCharge } from './fair-share.js';
@@ -11,242 +10,245 @@
 import { createTeamQueue, type TeamQueue } from './team-queue.js';
 
 /** A request that waits for a permit. */
-export interface Waiting {
+export interface WaitingRequest {
   query: PermitQuery;
-  /** The node that asked. */
+  /** The node that sent the query. */
   node: string;
-  /** When it came, on the holder's clock. */
-  since: number;
-  /** When its first token is late, on the holder's clock. */
-  firstTokenBy: number;
-  /** After this it cannot be on time even if it is granted at once, on the holder's clock. */
-  startBy: number;
-  /** Whether its prompt counts as long. */
+  /** Arrival time, on the holder's clock. */
+  arrivedAt: number;
+  /** Time by which the first token is due, on the holder's clock. */
+  firstTokenDeadline: number;
+  /** Latest grant that can still meet the first-token deadline, on the holder's clock. */
+  latestGrantAt: number;
+  /** Whether the prompt is classified as long. */
   isLong: boolean;
-  /** Whether its team had more than its share when it came. */
+  /** Whether the team exceeded its fair share on arrival. */
   isBeyondShare: boolean;
-  /** How long it was expected to wait, in milliseconds. */
+  /** Estimated queueing delay on arrival, in milliseconds. */
   expectedWaitMs: number;
-  /** Prompt tokens that will probably have to be read. */
-  toRead: number;
-  /** The server whose turn it waits for; absent when it takes the first that has room. */
+  /** Prompt tokens that are expected to need prefill. */
+  uncachedTokens: number;
+  /** The server that the request is assigned to; `undefined` if any eligible server may take it. */
   server: string | undefined;
   answer(answer: PermitAnswer): void;
 }
 
-/** Names one wish of one router. */
-export interface WishName {
+/** Identifies a permit query. */
+export interface RequestKey {
   node: string;
   requestId: string;
   attempt: number;
 }
 
-/** Requests that the same servers could take. */
-export interface Lane {
+/** Requests of one kind that the same servers can take. */
+export interface Subqueue {
   readonly name: string;
-  /** What lanes of short and long prompts for the same servers have in common. */
-  readonly target: string;
-  /** The server whose turn is waited for; absent when any will do. */
+  /** Equal for subqueues whose requests can be served by the same servers. */
+  readonly eligibilityKey: string;
+  /** The server that the requests are assigned to; `undefined` if any eligible server may take them. */
   readonly server: string | undefined;
   readonly isLong: boolean;
   readonly isBeyondShare: boolean;
   readonly teams: ReadonlyMap<string, TeamQueue>;
 }
 
-/** A lane's next request. */
-export interface Head {
-  lane: Lane;
-  waiting: Waiting;
+/** The next request of a subqueue. */
+export interface SubqueueHead {
+  subqueue: Subqueue;
+  waiting: WaitingRequest;
 }
 
 /** The queue of one shard. */
 export interface FairQueue {
-  add(waiting: Waiting): void;
-  /** @returns whether it was there */
-  remove(waiting: Waiting): boolean;
-  find(wish: WishName): Waiting | undefined;
-  /** The request whose turn is first, in the lanes that are not left out. */
-  first(without: ReadonlySet<Lane>): Head | undefined;
-  /** A request whose latest start has passed. */
-  overdue(now: number): Waiting | undefined;
-  lanes(): Iterable<Lane>;
-  waiting(): Iterable<Waiting>;
+  add(waiting: WaitingRequest): void;
+  /** @returns whether the request was in the queue */
+  remove(waiting: WaitingRequest): boolean;
+  find(key: RequestKey): WaitingRequest | undefined;
+  /** The first request in order, apart from the excluded subqueues. */
+  first(excluded: ReadonlySet<Subqueue>): SubqueueHead | undefined;
+  /** A request whose latest grant time has passed. */
+  expired(now: number): WaitingRequest | undefined;
+  subqueues(): Iterable<Subqueue>;
+  waiting(): Iterable<WaitingRequest>;
   size(): number;
   charge(charge: TeamCharge): void;
 }
 
-/** How a queue orders teams. */
+/** Ordering of a queue. */
 export interface QueueTerms {
   share: FairShare;
-  /** False: by priority and first-token time alone, whoever asks. */
+  /** If false, requests are ordered by priority and first-token deadline regardless of the team. */
   isFair: boolean;
 }
 
-interface OpenLane extends Lane {
+interface MutableSubqueue extends Subqueue {
   readonly teams: Map<string, TeamQueue>;
-  readonly turns: OrderedHeap<TeamQueue>;
+  readonly teamHeap: OrderedHeap<TeamQueue>;
 }
 
 /**
- * What the lanes of a request have in common.
+ * Returns a key that is equal for requests which the same servers can serve.
  *
  * @param query the request
  */
-export function resolveTarget({ group, model, adapter, avoid }: PermitQuery): string {
+export function resolveEligibilityKey({ group, model, adapter, avoid }: PermitQuery): string {
   return JSON.stringify([group, model, adapter, avoid]);
 }
 
 /**
  * Creates an empty queue.
  *
- * @param terms how teams take turns
+ * @param terms the ordering
  */
 export function createFairQueue(terms: QueueTerms): FairQueue {
   const { share, isFair } = terms;
-  const byName = new Map<string, Waiting>();
-  const lanes = new Map<string, OpenLane>();
-  const lanesOfTeam = new Map<string, Set<OpenLane>>();
+  const byKey = new Map<string, WaitingRequest>();
+  const subqueues = new Map<string, MutableSubqueue>();
+  const subqueuesByTeam = new Map<string, Set<MutableSubqueue>>();
   const leastServed = createOrderedHeap<string>(
     (left, right) => share.served(left) < share.served(right),
   );
-  const starts = createOrderedHeap<Waiting>((left, right) => left.startBy < right.startBy);
+  const latestGrants = createOrderedHeap<WaitingRequest>(
+    (left, right) => left.latestGrantAt < right.latestGrantAt,
+  );
 
-  function isBefore(left: TeamQueue, right: TeamQueue): boolean {
+  function isTeamBefore(left: TeamQueue, right: TeamQueue): boolean {
     const one = left.heap.peek();
     const other = right.heap.peek();
     if (one === undefined || other === undefined) return one !== undefined;
     return compare(one, other) < 0;
   }
 
-  function compare(left: Waiting, right: Waiting): number {
+  function compare(left: WaitingRequest, right: WaitingRequest): number {
     const one = left.query;
     const other = right.query;
-    if (!isFair) return one.priority - other.priority || left.firstTokenBy - right.firstTokenBy;
+    if (!isFair)
+      return one.priority - other.priority || left.firstTokenDeadline - right.firstTokenDeadline;
     return (
       Number(left.isBeyondShare) - Number(right.isBeyondShare) ||
       share.band(one.team) - share.band(other.team) ||
       one.priority - other.priority ||
       share.served(one.team) - share.served(other.team) ||
-      left.firstTokenBy - right.firstTokenBy
+      left.firstTokenDeadline - right.firstTokenDeadline
     );
   }
 
-  function openLane(waiting: Waiting): OpenLane {
-    const target = resolveTarget(waiting.query);
-    const name = nameLane(waiting);
-    const known = lanes.get(name);
+  function openSubqueue(waiting: WaitingRequest): MutableSubqueue {
+    const target = resolveEligibilityKey(waiting.query);
+    const name = formatSubqueueName(waiting);
+    const known = subqueues.get(name);
     if (known !== undefined) return known;
     const { server, isLong, isBeyondShare } = waiting;
-    const opened: OpenLane = {
+    const opened: MutableSubqueue = {
       name,
-      target,
+      eligibilityKey: target,
       server,
       isLong,
       isBeyondShare,
       teams: new Map<string, TeamQueue>(),
-      turns: createOrderedHeap(isBefore),
+      teamHeap: createOrderedHeap(isTeamBefore),
     };
-    lanes.set(name, opened);
+    subqueues.set(name, opened);
     return opened;
   }
 
-  function openTeam(lane: OpenLane, { team, weight }: PermitQuery): TeamQueue {
-    const known = lane.teams.get(team);
+  function openTeam(subqueue: MutableSubqueue, { team, weight }: PermitQuery): TeamQueue {
+    const known = subqueue.teams.get(team);
     if (known !== undefined) return known;
     const opened = createTeamQueue(team, weight);
-    lane.teams.set(team, opened);
-    const others = lanesOfTeam.get(team) ?? new Set();
-    lanesOfTeam.set(team, others.add(lane));
+    subqueue.teams.set(team, opened);
+    const others = subqueuesByTeam.get(team) ?? new Set();
+    subqueuesByTeam.set(team, others.add(subqueue));
     return opened;
   }
 
-  function closeTeam(lane: OpenLane, queue: TeamQueue): void {
-    lane.turns.remove(queue);
-    lane.teams.delete(queue.team);
-    if (lane.teams.size === 0) lanes.delete(lane.name);
-    const others = lanesOfTeam.get(queue.team);
-    others?.delete(lane);
+  function closeTeam(subqueue: MutableSubqueue, queue: TeamQueue): void {
+    subqueue.teamHeap.remove(queue);
+    subqueue.teams.delete(queue.team);
+    if (subqueue.teams.size === 0) subqueues.delete(subqueue.name);
+    const others = subqueuesByTeam.get(queue.team);
+    others?.delete(subqueue);
     if (others === undefined || others.size > 0) return;
-    lanesOfTeam.delete(queue.team);
+    subqueuesByTeam.delete(queue.team);
     leastServed.remove(queue.team);
   }
 
-  /** The order of teams follows what they were served. */
+  /** Restores the order of teams after the service of one changed. */
   function reorder(team: string): void {
     leastServed.update(team);
-    for (const lane of lanesOfTeam.get(team) ?? []) {
-      const queue = lane.teams.get(team);
-      if (queue !== undefined) lane.turns.update(queue);
+    for (const subqueue of subqueuesByTeam.get(team) ?? []) {
+      const queue = subqueue.teams.get(team);
+      if (queue !== undefined) subqueue.teamHeap.update(queue);
     }
   }
 
-  function advance(): void {
+  function advanceFloor(): void {
     const least = leastServed.peek();
-    if (least !== undefined) share.advance(share.served(least));
+    if (least !== undefined) share.advanceFloor(share.served(least));
   }
 
   return {
     add(waiting) {
       const { query } = waiting;
-      advance();
-      if (!lanesOfTeam.has(query.team)) {
-        share.enter(query.team);
+      advanceFloor();
+      if (!subqueuesByTeam.has(query.team)) {
+        share.activate(query.team);
         leastServed.push(query.team);
       }
-      byName.set(nameWish(resolveWish(waiting)), waiting);
-      starts.push(waiting);
-      const lane = openLane(waiting);
-      const queue = openTeam(lane, query);
+      byKey.set(formatKey(resolveKey(waiting)), waiting);
+      latestGrants.push(waiting);
+      const subqueue = openSubqueue(waiting);
+      const queue = openTeam(subqueue, query);
       queue.add(waiting);
-      if (lane.turns.has(queue)) lane.turns.update(queue);
-      else lane.turns.push(queue);
+      if (subqueue.teamHeap.has(queue)) subqueue.teamHeap.update(queue);
+      else subqueue.teamHeap.push(queue);
     },
     remove(waiting) {
-      const lane = lanes.get(nameLane(waiting));
-      const queue = lane?.teams.get(waiting.query.team);
-      if (lane === undefined || queue?.remove(waiting) !== true) return false;
-      byName.delete(nameWish(resolveWish(waiting)));
-      starts.remove(waiting);
-      if (queue.heap.size() === 0) closeTeam(lane, queue);
-      else lane.turns.update(queue);
+      const subqueue = subqueues.get(formatSubqueueName(waiting));
+      const queue = subqueue?.teams.get(waiting.query.team);
+      if (subqueue === undefined || queue?.remove(waiting) !== true) return false;
+      byKey.delete(formatKey(resolveKey(waiting)));
+      latestGrants.remove(waiting);
+      if (queue.heap.size() === 0) closeTeam(subqueue, queue);
+      else subqueue.teamHeap.update(queue);
       return true;
     },
-    find: (wish) => byName.get(nameWish(wish)),
-    first(without) {
-      let best: Head | undefined;
-      for (const lane of lanes.values()) {
-        const waiting = lane.turns.peek()?.heap.peek();
-        if (waiting === undefined || without.has(lane)) continue;
-        if (best === undefined || compare(waiting, best.waiting) < 0) best = { lane, waiting };
+    find: (key) => byKey.get(formatKey(key)),
+    first(excluded) {
+      let best: SubqueueHead | undefined;
+      for (const subqueue of subqueues.values()) {
+        const waiting = subqueue.teamHeap.peek()?.heap.peek();
+        if (waiting === undefined || excluded.has(subqueue)) continue;
+        if (best === undefined || compare(waiting, best.waiting) < 0) best = { subqueue, waiting };
       }
       return best;
     },
-    overdue(now) {
-      const first = starts.peek();
-      return first !== undefined && first.startBy <= now ? first : undefined;
+    expired(now) {
+      const first = latestGrants.peek();
+      return first !== undefined && first.latestGrantAt <= now ? first : undefined;
     },
-    lanes: () => lanes.values(),
-    waiting: () => byName.values(),
-    size: () => byName.size,
+    subqueues: () => subqueues.values(),
+    waiting: () => byKey.values(),
+    size: () => byKey.size,
     charge(charge) {
-      // While nobody waits, the team that is served carries the common floor with it.
-      if (leastServed.size() === 0) share.advance(share.served(charge.team));
+      // With an empty queue, the floor follows the team that is served.
+      if (leastServed.size() === 0) share.advanceFloor(share.served(charge.team));
       share.charge(charge);
       reorder(charge.team);
-      advance();
+      advanceFloor();
     },
   };
 }
 
-function nameLane(waiting: Waiting): string {
+function formatSubqueueName(waiting: WaitingRequest): string {
   const { isLong, isBeyondShare, server = '', query } = waiting;
-  return JSON.stringify([isLong, isBeyondShare, server, resolveTarget(query)]);
+  return JSON.stringify([isLong, isBeyondShare, server, resolveEligibilityKey(query)]);
 }
 
-function resolveWish({ node, query }: Waiting): WishName {
+function resolveKey({ node, query }: WaitingRequest): RequestKey {
   return { node, requestId: query.requestId, attempt: query.attempt };
 }
 
-function nameWish({ node, requestId, attempt }: WishName): string {
+function formatKey({ node, requestId, attempt }: RequestKey): string {
   return JSON.stringify([node, requestId, attempt]);
 }
--- a/src/permits/room.ts
+++ b/src/permits/room.ts
@@ -4,7 +4,13 @@
  * ones.
  */
 import type { PermitQuery } from '../links/index.js';
-import { countLong, tokensAhead, tokensUncached, type Guest, type Server } from './server.js';
+import {
+  countLongPrompts,
+  countPrefillQueueTokens,
+  countUncachedTokens,
+  type ClassifiedRequest,
+  type Server,
+} from './server.js';
 
 /** Which bounds hold. */
 export interface RoomTerms {
@@ -15,11 +21,11 @@
   /** Give less to servers that fail. */
   ejection: boolean;
   /** Servers that are used although they are ejected. */
-  pardoned: ReadonlySet<Server>;
+  ejectionExempt: ReadonlySet<Server>;
 }
 
 /** Prompts on a server are bounded to what it reads in this time. */
-export const READ_WINDOW_MS = 250;
+export const PREFILL_WINDOW_MS = 250;
 /** Share of places that long prompts leave to short ones. */
 const SHORT_SHARE = 0.25;
 /** Share of places that teams beyond their share leave to the others. */
@@ -35,17 +41,22 @@
  * Whether a server has room.
  *
  * @param server its tally
- * @param guest the request
+ * @param request the request
  * @param now the time on the holder's clock
  * @param terms which bounds hold
  */
-export function hasRoom(server: Server, guest: Guest, now: number, terms: RoomTerms): boolean {
+export function hasRoom(
+  server: Server,
+  request: ClassifiedRequest,
+  now: number,
+  terms: RoomTerms,
+): boolean {
   const limit = resolveLimit(server, now, terms);
-  if (server.permits.size >= limit - keptPlaces(limit, guest, terms)) return false;
-  if (!hasKvRoom(server, guest.query)) return false;
+  if (server.permits.size >= limit - keptPlaces(limit, request, terms)) return false;
+  if (!hasKvRoom(server, request.query)) return false;
   if (server.permits.size === 0) return true;
-  if (!keepsPace(server, guest.query, limit, now)) return false;
-  return !terms.shortReserve || hasReadingRoom(server, guest, limit, now);
+  if (!keepsPace(server, request.query, limit, now)) return false;
+  return !terms.shortReserve || hasReadingRoom(server, request, limit, now);
 }
 
 /**
@@ -57,13 +68,13 @@
  */
 export function resolveLimit(server: Server, now: number, terms: RoomTerms): number {
   if (!terms.ejection) return server.slots;
-  if (terms.pardoned.has(server)) return server.health.pardonedLimit(server.slots);
+  if (terms.ejectionExempt.has(server)) return server.health.exemptLimit(server.slots);
   return server.health.limit(server.slots, now);
 }
 
 /** Places that a team beyond its share leaves free, so that others need not wait for its answers. */
-function keptPlaces(limit: number, guest: Guest, terms: RoomTerms): number {
-  if (!terms.fairness || !guest.isBeyondShare) return 0;
+function keptPlaces(limit: number, request: ClassifiedRequest, terms: RoomTerms): number {
+  if (!terms.fairness || !request.isBeyondShare) return 0;
   return Math.floor(limit * KEPT_SHARE);
 }
 
@@ -83,30 +94,36 @@
   return server.rates.stepMs(batch, now) <= longestMs * STEP_HEADROOM;
 }
 
-function hasReadingRoom(server: Server, guest: Guest, limit: number, now: number): boolean {
-  const { query, isLong } = guest;
+function hasReadingRoom(
+  server: Server,
+  request: ClassifiedRequest,
+  limit: number,
+  now: number,
+): boolean {
+  const { query, isLong } = request;
   const longPlaces = Math.max(1, Math.floor(limit * (1 - SHORT_SHARE)));
-  if (isLong && countLong(server) >= longPlaces) return false;
+  if (isLong && countLongPrompts(server) >= longPlaces) return false;
   if (isLong && !hasLongReader(server)) return true;
-  if (server.readers.size === 0) return true;
+  if (server.prefilling.size === 0) return true;
   if (!isLong && hasUrgentReader(server, now)) return false;
-  const tokens = tokensAhead(server, isLong) + tokensUncached(server, query);
-  return tokens <= server.rates.tokensReadIn(READ_WINDOW_MS, now);
+  const tokens = countPrefillQueueTokens(server, isLong) + countUncachedTokens(server, query);
+  return tokens <= server.rates.tokensPrefilledIn(PREFILL_WINDOW_MS, now);
 }
 
 /** One long prompt may always be read, for short ones pass it by on the engine. */
 function hasLongReader(server: Server): boolean {
-  for (const { isLong } of server.readers.values()) {
+  for (const { isLong } of server.prefilling.values()) {
     if (isLong) return true;
   }
   return false;
 }
 
 function hasUrgentReader(server: Server, now: number): boolean {
-  for (const { isLong, reading, grantedAt } of server.readers.values()) {
-    if (!isLong || reading === undefined) continue;
-    const allowedMs = reading.firstTokenBy - grantedAt;
-    if (now - grantedAt > Math.max(reading.expectedMs, allowedMs * URGENT_SHARE)) return true;
+  for (const { isLong, pendingPrefill: pendingPrefill, grantedAt } of server.prefilling.values()) {
+    if (!isLong || pendingPrefill === undefined) continue;
+    const allowedMs = pendingPrefill.firstTokenDeadline - grantedAt;
+    if (now - grantedAt > Math.max(pendingPrefill.expectedMs, allowedMs * URGENT_SHARE))
+      return true;
   }
   return false;
 }
@@ -120,13 +137,13 @@
  *
  * @param candidates the servers for a request
  */
-export function resolvePardoned(candidates: readonly Server[]): ReadonlySet<Server> {
+export function resolveEjectionExempt(candidates: readonly Server[]): ReadonlySet<Server> {
   const ejected: Server[] = [];
   for (const server of candidates) {
     if (server.health.isEjected()) ejected.push(server);
   }
   const excess = ejected.length - Math.floor(candidates.length * MAX_EJECTED_SHARE);
   if (excess <= 0) return new Set();
-  ejected.sort((left, right) => left.health.pausedUntil() - right.health.pausedUntil());
+  ejected.sort((left, right) => left.health.ejectedUntil() - right.health.ejectedUntil());
   return new Set(ejected.slice(0, excess));
 }
--- a/src/permits/server-health.ts
+++ b/src/permits/server-health.ts
@@ -5,21 +5,21 @@
  */
 
 /** How a permit's use speaks for or against its server. */
-export type Verdict = 'good' | 'bad';
+export type HealthSample = 'good' | 'bad';
 
 /** The health of one server. Times are milliseconds on the holder's clock. */
 export interface ServerHealth {
-  note(verdict: Verdict, now: number): void;
+  record(verdict: HealthSample, now: number): void;
   /** Most requests that the server should have now, of those it has room for. */
   limit(slots: number, now: number): number;
   /** The same for a server that is used although it is ejected, because all others are too. */
-  pardonedLimit(slots: number): number;
+  exemptLimit(slots: number): number;
   /** When an ejected server gets its probe; for the choice of the least bad one. */
-  pausedUntil(): number;
+  ejectedUntil(): number;
   /** Whether it gets nothing, or only a probe. */
   isEjected(): boolean;
   /** From 0, nothing against it, to 1. */
-  doubt(): number;
+  failureScore(): number;
   /** Another process answers there now; it begins with a probe. */
   restart(): void;
 }
@@ -53,7 +53,7 @@
   }
 
   return {
-    note(verdict, now) {
+    record(verdict, now) {
       if (verdict === 'good') {
         doubt -= doubt * VERDICT_WEIGHT;
         failures = 0;
@@ -71,10 +71,10 @@
       if (doubt <= FREE_DOUBT) return slots;
       return resolveReduced(slots);
     },
-    pardonedLimit: resolveReduced,
-    pausedUntil: () => pausedUntil,
+    exemptLimit: resolveReduced,
+    ejectedUntil: () => pausedUntil,
     isEjected: () => ejected,
-    doubt: () => doubt,
+    failureScore: () => doubt,
     restart() {
       if (!ejected) return;
       pausedUntil = 0;
--- a/src/permits/server-rates.ts
+++ b/src/permits/server-rates.ts
@@ -26,7 +26,7 @@
   /** Time to a first token that has so many prompt tokens to be read before it. */
   firstTokenMs(tokens: number, now: number): number;
   /** Prompt tokens that are read in `ms`. */
-  tokensReadIn(ms: number, now: number): number;
+  tokensPrefilledIn(ms: number, now: number): number;
   /** Time between two tokens of one answer in a batch of some size. */
   stepMs(batch: number, now: number): number;
   /** Time of a plain service's call. */
@@ -51,11 +51,11 @@
     setNominal({ prefillTokensPerSecond, decodeTokensPerSecond, maxBatch }) {
       const readMs = (ANCHOR_TOKENS * MS_PER_SECOND) / prefillTokensPerSecond;
       const fullMs = MS_PER_SECOND / decodeTokensPerSecond;
-      reading.anchor([
+      reading.setAnchors([
         { x: 0, y: 0 },
         { x: ANCHOR_TOKENS, y: readMs },
       ]);
-      steps.anchor([
+      steps.setAnchors([
         { x: 1, y: fullMs * ALONE_SHARE },
         { x: maxBatch, y: fullMs },
       ]);
@@ -70,7 +70,7 @@
       calls.observe({ x: 0, y: ms }, now);
     },
     firstTokenMs: (tokens, now) => reading.valueAt(tokens, now),
-    tokensReadIn(ms, now) {
+    tokensPrefilledIn(ms, now) {
       const { slope } = reading.line(now);
       return slope > 0 ? ms / slope : Number.POSITIVE_INFINITY;
     },
--- a/src/permits/server.ts
+++ b/src/permits/server.ts
@@ -15,19 +15,19 @@
 import { createServerRates, type ServerRates } from './server-rates.js';
 
 /** A permit's way to its first token. */
-export interface Reading {
+export interface PendingPrefill {
   /** The prompt's prefixes, which the server has cached from the first token on. */
   prefixes: readonly string[];
   /** Prompt tokens that were not expected in the cache. */
-  tokens: number;
+  uncachedTokens: number;
   /** Prompt tokens to be read on the server until this one's first token. */
-  tokensAhead: number;
+  tokensToFirstToken: number;
   /** How long the first token was expected to take, in milliseconds. */
   expectedMs: number;
   /** When the first token is late, on the holder's clock. */
-  firstTokenBy: number;
+  firstTokenDeadline: number;
   /** Whether it was counted against the server as slow. */
-  isOverdue: boolean;
+  isCountedAsSlow: boolean;
 }
 
 /** A permit as the holder remembers it. */
@@ -58,7 +58,7 @@
   /** When it was granted or adopted, on the holder's clock. */
   grantedAt: number;
   /** Absent once the first token came, and for a permit granted by an earlier holder. */
-  reading: Reading | undefined;
+  pendingPrefill: PendingPrefill | undefined;
 }
 
 /** What is known of a server and what was granted on it. */
@@ -76,7 +76,7 @@
   /** Changes with every start of the server's process; empty until it was first reached. */
   incarnation: string;
   /** How often in a row it did not answer the holder. */
-  silences: number;
+  missedAnswers: number;
   /** Carrying out an order. */
   busy: boolean;
   /** It said itself that it leaves. */
@@ -87,7 +87,7 @@
   /** Tokens that the permits out may come to occupy. */
   reservedTokens: number;
   /** The permits whose first token has not come, by id. */
-  readers: Map<string, GrantedPermit>;
+  prefilling: Map<string, GrantedPermit>;
   prefixes: PrefixIndex;
   /** Prefixes of the prompts that wait for this server, which it will have cached. */
   plannedPrefixes: PrefixIndex;
@@ -114,13 +114,13 @@
     models: new Set(),
     adapters: new Set(),
     incarnation: '',
-    silences: 0,
+    missedAnswers: 0,
     busy: false,
     leaving: false,
     heldForOrder: false,
     permits: new Map(),
     reservedTokens: 0,
-    readers: new Map(),
+    prefilling: new Map(),
     prefixes: createPrefixIndex(),
     plannedPrefixes: createPrefixIndex(),
     rates: createServerRates(),
@@ -134,14 +134,14 @@
  * @param server the tally to change
  * @param state the engine's own word
  */
-export function learnEngine(server: Server, state: EngineState): void {
+export function applyEngineState(server: Server, state: EngineState): void {
   if (server.incarnation !== state.incarnation) {
     server.prefixes.clear();
     server.plannedPrefixes.clear();
     server.health.restart();
   }
   server.incarnation = state.incarnation;
-  server.silences = 0;
+  server.missedAnswers = 0;
   server.rates.setNominal(state);
   server.slots = state.maxBatch;
   server.kvTokens = state.kvTokensTotal;
@@ -160,10 +160,10 @@
  * @param server the tally to change
  * @param state the worker's own word
  */
-export function learnService(server: Server, state: ServiceState): void {
+export function applyServiceState(server: Server, state: ServiceState): void {
   if (server.incarnation !== state.incarnation) server.health.restart();
   server.incarnation = state.incarnation;
-  server.silences = 0;
+  server.missedAnswers = 0;
   server.slots = state.maxConcurrency;
   server.leaving = state.leaving;
 }
@@ -177,7 +177,7 @@
 export function addPermit(server: Server, permit: GrantedPermit): void {
   if (server.permits.has(permit.permitId)) return;
   server.permits.set(permit.permitId, permit);
-  if (permit.reading !== undefined) server.readers.set(permit.permitId, permit);
+  if (permit.pendingPrefill !== undefined) server.prefilling.set(permit.permitId, permit);
   server.reservedTokens += permit.promptTokens + permit.outputTokens;
 }
 
@@ -191,7 +191,7 @@
   const permit = server.permits.get(permitId);
   if (permit === undefined) return undefined;
   server.permits.delete(permitId);
-  server.readers.delete(permitId);
+  server.prefilling.delete(permitId);
   server.reservedTokens -= permit.promptTokens + permit.outputTokens;
   return permit;
 }
@@ -213,12 +213,12 @@
  *
  * @param server the tally to read
  */
-export function freeSlots(server: Server): number {
+export function countFreeSlots(server: Server): number {
   return server.slots - server.permits.size;
 }
 
 /** A request that looks for a place. */
-export interface Guest {
+export interface ClassifiedRequest {
   query: PermitQuery;
   /** Whether its prompt counts as long. */
   isLong: boolean;
@@ -234,11 +234,11 @@
  * @param server the tally to read
  * @param isLong whether the new request's prompt counts as long
  */
-export function tokensAhead(server: Server, isLong: boolean): number {
+export function countPrefillQueueTokens(server: Server, isLong: boolean): number {
   let tokens = 0;
-  for (const reader of server.readers.values()) {
+  for (const reader of server.prefilling.values()) {
     if (reader.isLong && !isLong) continue;
-    tokens += reader.reading?.tokens ?? 0;
+    tokens += reader.pendingPrefill?.uncachedTokens ?? 0;
   }
   return tokens;
 }
@@ -248,7 +248,7 @@
  *
  * @param server the tally to read
  */
-export function countLong(server: Server): number {
+export function countLongPrompts(server: Server): number {
   let count = 0;
   for (const { isLong } of server.permits.values()) {
     if (isLong) count += 1;
@@ -262,7 +262,7 @@
  * @param server the tally to read
  * @param query the request
  */
-export function tokensUncached(server: Server, query: PermitQuery): number {
+export function countUncachedTokens(server: Server, query: PermitQuery): number {
   const cached = server.prefixes.countCached(query.prefixes) * PREFIX_BLOCK_TOKENS;
   return Math.max(0, query.promptTokens - cached);
 }
@@ -273,7 +273,7 @@
  * @param server the tally to read
  * @param query the request
  */
-export function tokensUnplanned(server: Server, query: PermitQuery): number {
+export function countUncachedAfterQueue(server: Server, query: PermitQuery): number {
   const planned = server.plannedPrefixes.countCached(query.prefixes);
   const cached = Math.max(planned, server.prefixes.countCached(query.prefixes));
   return Math.max(0, query.promptTokens - cached * PREFIX_BLOCK_TOKENS);
--- a/src/permits/shard-decisions.ts
+++ b/src/permits/shard-decisions.ts
@@ -6,30 +6,41 @@
 import type { PermitQuery } from '../links/index.js';
 import type { Decisions } from '../settings/index.js';
 import { hashName } from '../gossip/index.js';
-import { resolveForecast, type Forecast, type LanePart } from './admission.js';
+import { estimateLatency, type LatencyEstimate, type SubqueuePart } from './admission.js';
 import { resolveWorkMs } from './capacity.js';
 import {
   chooseServer,
-  doubtOf,
+  resolveHealthPenalty,
   IndexedCache,
   NoCache,
-  resolveSharedWriteMs,
+  resolveSharedDecodeMs,
   type CacheView,
-  type Chosen,
+  type ServerChoice,
 } from './choice.js';
-import { canServe, type Membership } from './eligibility.js';
+import { canServe, type GroupMembership } from './eligibility.js';
 import type { FairShare } from './fair-share.js';
 import type { LineFit } from './line-fit.js';
-import { resolveTarget, type FairQueue, type Lane, type Waiting } from './queue.js';
-import { hasRoom, resolveLimit, resolvePardoned, type RoomTerms } from './room.js';
-import { tokensAhead, tokensUncached, tokensUnplanned, type Guest, type Server } from './server.js';
+import {
+  resolveEligibilityKey,
+  type FairQueue,
+  type Subqueue,
+  type WaitingRequest,
+} from './queue.js';
+import { hasRoom, resolveLimit, resolveEjectionExempt, type RoomTerms } from './room.js';
+import {
+  countPrefillQueueTokens,
+  countUncachedTokens,
+  countUncachedAfterQueue,
+  type ClassifiedRequest,
+  type Server,
+} from './server.js';
 import { addBacklog, createBacklog, type Backlog, type TeamQueue } from './team-queue.js';
 import type { WaitRecord } from './wait-record.js';
 
 /** What the decisions look at. */
 export interface ShardDecisionsParts {
   decisions: Decisions;
-  membership: Membership;
+  membership: GroupMembership;
   servers: ReadonlyMap<string, Server>;
   queue: FairQueue;
   share: FairShare;
@@ -44,15 +55,15 @@
   /** Whether a request's prompt counts as long. */
   isLong(query: PermitQuery, candidates: readonly Server[], now: number): boolean;
   /** The server that a request waits for, and when it may be expected to start there. */
-  assign(guest: Guest, candidates: readonly Server[], now: number): Assignment;
+  assign(request: ClassifiedRequest, candidates: readonly Server[], now: number): Assignment;
   /** Whether the server that a request waits for still takes it. */
-  isServed(waiting: Waiting, now: number): boolean;
+  isAssignmentValid(waiting: WaitingRequest, now: number): boolean;
   /** Where a request goes now whose turn it is; `undefined` while there is no room. */
-  place(waiting: Waiting, now: number): Chosen | undefined;
+  place(waiting: WaitingRequest, now: number): ServerChoice | undefined;
   /** A request that a server with nothing to do takes from another's queue. */
-  takeOver(now: number): TakeOver | undefined;
+  steal(now: number): StolenRequest | undefined;
   /** When a request that waits may be expected to start. */
-  forecast(waiting: Waiting, now: number): Forecast;
+  estimate(waiting: WaitingRequest, now: number): LatencyEstimate;
   /** The team with the longest queue for its weight, in requests. */
   longestQueue(): TeamQueue | undefined;
 }
@@ -62,14 +73,14 @@
   /** Absent when it takes the first server that has room. */
   server: Server | undefined;
   /** Prompt tokens that will probably have to be read. */
-  toRead: number;
-  forecast: Forecast;
+  uncachedTokens: number;
+  estimate: LatencyEstimate;
 }
 
 /** A request that goes to another server than it waits for. */
-export interface TakeOver {
-  waiting: Waiting;
-  chosen: Chosen;
+export interface StolenRequest {
+  waiting: WaitingRequest;
+  choice: ServerChoice;
 }
 
 /**
@@ -109,35 +120,36 @@
 
   function termsFor(candidates: readonly Server[]): RoomTerms {
     const { fairness, shortReserve, ejection } = decisions;
-    return { fairness, shortReserve, ejection, pardoned: resolvePardoned(candidates) };
+    return { fairness, shortReserve, ejection, ejectionExempt: resolveEjectionExempt(candidates) };
   }
 
   /** Lanes for all of some servers; of those that wait for none in particular, each has its part. */
-  function lanesFor(query: PermitQuery, server: Server | undefined, count: number): LanePart[] {
-    const target = resolveTarget(query);
-    const found: LanePart[] = [];
-    for (const lane of queue.lanes()) {
-      if (lane.target !== target) continue;
-      if (server === undefined || lane.server === server.vm.id) found.push({ lane, part: 1 });
-      else if (lane.server === undefined) found.push({ lane, part: 1 / count });
+  function lanesFor(query: PermitQuery, server: Server | undefined, count: number): SubqueuePart[] {
+    const target = resolveEligibilityKey(query);
+    const found: SubqueuePart[] = [];
+    for (const subqueue of queue.subqueues()) {
+      if (subqueue.eligibilityKey !== target) continue;
+      if (server === undefined || subqueue.server === server.vm.id)
+        found.push({ subqueue, part: 1 });
+      else if (subqueue.server === undefined) found.push({ subqueue, part: 1 / count });
     }
     return found;
   }
 
   function forecast(
-    guest: Guest,
+    request: ClassifiedRequest,
     server: Server | undefined,
     candidates: readonly Server[],
     now: number,
-  ): Forecast {
-    return resolveForecast({
-      guest,
+  ): LatencyEstimate {
+    return estimateLatency({
+      request: request,
       candidates: server === undefined ? candidates : [server],
-      lanes: lanesFor(guest.query, server, candidates.length),
+      subqueues: lanesFor(request.query, server, candidates.length),
       share,
       isFair: decisions.fairness,
-      correction: waits.correction(guest.isLong),
-      turnMs: waits.turnMs() * (server === undefined ? 1 : candidates.length),
+      correction: waits.correction(request.isLong),
+      releaseIntervalMs: waits.releaseIntervalMs() * (server === undefined ? 1 : candidates.length),
       now,
       terms: termsFor(candidates),
     });
@@ -158,45 +170,49 @@
   /** Whether it makes a difference which server reads the prompt. */
   function isParticular(query: PermitQuery, servers: readonly Server[], now: number): boolean {
     for (const server of servers) {
-      const shortTokens = server.rates.tokensReadIn(SHORT_READ_MS, now);
-      if (tokensUnplanned(server, query) > shortTokens) return true;
+      const shortTokens = server.rates.tokensPrefilledIn(SHORT_READ_MS, now);
+      if (countUncachedAfterQueue(server, query) > shortTokens) return true;
     }
     return false;
   }
 
-  function assign(guest: Guest, candidates: readonly Server[], now: number): Assignment {
+  function assign(
+    request: ClassifiedRequest,
+    candidates: readonly Server[],
+    now: number,
+  ): Assignment {
     let best: Assignment | undefined;
     let leastMs = Number.POSITIVE_INFINITY;
     const listed = listAssignable(candidates, now);
-    const assignable = isParticular(guest.query, listed, now) ? listed : [];
-    const home = findHome(guest.query, assignable);
+    const assignable = isParticular(request.query, listed, now) ? listed : [];
+    const home = findHome(request.query, assignable);
     for (const server of assignable) {
-      const toRead = tokensUnplanned(server, guest.query);
-      const foretold = forecast(guest, server, candidates, now);
-      const replaced = server === home ? 0 : toRead * REPLACED_WEIGHT;
-      const costMs = assignedMs(server, guest, toRead, replaced, foretold, now);
+      const uncachedTokens = countUncachedAfterQueue(server, request.query);
+      const foretold = forecast(request, server, candidates, now);
+      const replaced = server === home ? 0 : uncachedTokens * REPLACED_WEIGHT;
+      const costMs = assignedMs(server, request, uncachedTokens, replaced, foretold, now);
       if (costMs >= leastMs) continue;
-      best = { server, toRead, forecast: foretold };
+      best = { server, uncachedTokens, estimate: foretold };
       leastMs = costMs;
     }
     if (best !== undefined) return best;
-    const foretold = forecast(guest, undefined, candidates, now);
+    const foretold = forecast(request, undefined, candidates, now);
     return {
       server: undefined,
-      toRead: leastUncached(guest.query, candidates),
-      forecast: foretold,
+      uncachedTokens: leastUncached(request.query, candidates),
+      estimate: foretold,
     };
   }
 
-  function findServing({ server: id, query }: Waiting): Server | undefined {
+  function findServing({ server: id, query }: WaitingRequest): Server | undefined {
     const server = parts.servers.get(id ?? '');
     return server !== undefined && canServe(server, query, membership) ? server : undefined;
   }
 
-  function chooseAny(guest: Guest, now: number): Chosen | undefined {
-    const candidates = listCandidates(guest.query);
+  function chooseAny(request: ClassifiedRequest, now: number): ServerChoice | undefined {
+    const candidates = listCandidates(request.query);
     return chooseServer({
-      guest,
+      request: request,
       candidates,
       cache,
       handover: decisions.handover,
@@ -209,7 +225,7 @@
   /** What waits for each server. */
   function backlogs(): Map<string, Backlog> {
     const sums = new Map<string, Backlog>();
-    for (const { server, teams } of queue.lanes()) {
+    for (const { server, teams } of queue.subqueues()) {
       if (server === undefined) continue;
       const sum = sums.get(server) ?? createBacklog();
       for (const team of teams.values()) addBacklog(sum, team.backlog());
@@ -218,35 +234,38 @@
     return sums;
   }
 
-  /** The last in turn of the team that has most waiting in a lane gains most by going elsewhere. */
+  /** The last in turn of the team that has most waiting in a subqueue gains most by going elsewhere. */
   function findTakeOver(
     taker: Server,
-    lane: Lane,
+    subqueue: Subqueue,
     ownMs: number,
     now: number,
-  ): Waiting | undefined {
-    const longest = findLongest(lane.teams.values());
+  ): WaitingRequest | undefined {
+    const longest = findLongest(subqueue.teams.values());
     const waiting = longest && findLeastUrgent(longest);
     if (waiting === undefined || !canServe(taker, waiting.query, membership)) return undefined;
     const terms = termsFor(listCandidates(waiting.query));
     if (!hasRoom(taker, waiting, now, terms)) return undefined;
-    const toRead = tokensUncached(taker, waiting.query);
-    const replacedMs = readMs(taker, Math.max(0, toRead - waiting.toRead), now) * REPLACED_WEIGHT;
-    const takenMs = readMs(taker, tokensAhead(taker, waiting.isLong) + toRead, now) + replacedMs;
-    return takenMs * doubtOf(taker) < ownMs ? waiting : undefined;
+    const uncachedTokens = countUncachedTokens(taker, waiting.query);
+    const replacedMs =
+      readMs(taker, Math.max(0, uncachedTokens - waiting.uncachedTokens), now) * REPLACED_WEIGHT;
+    const takenMs =
+      readMs(taker, countPrefillQueueTokens(taker, waiting.isLong) + uncachedTokens, now) +
+      replacedMs;
+    return takenMs * resolveHealthPenalty(taker) < ownMs ? waiting : undefined;
   }
 
   return {
     candidates: listCandidates,
     isLong(query, candidates, now) {
       for (const server of candidates) {
-        const shortTokens = server.rates.tokensReadIn(SHORT_READ_MS, now);
-        if (tokensUncached(server, query) <= shortTokens) return false;
+        const shortTokens = server.rates.tokensPrefilledIn(SHORT_READ_MS, now);
+        if (countUncachedTokens(server, query) <= shortTokens) return false;
       }
       return true;
     },
     assign,
-    isServed(waiting, now) {
+    isAssignmentValid(waiting, now) {
       if (waiting.server === undefined) return true;
       const server = findServing(waiting);
       if (server?.role !== 'mixed') return false;
@@ -259,14 +278,14 @@
       const terms = termsFor(listCandidates(waiting.query));
       return hasRoom(server, waiting, now, terms) ? { server, prefill: undefined } : undefined;
     },
-    takeOver(now) {
+    steal(now) {
       const sums = backlogs();
       if (sums.size === 0) return undefined;
       for (const taker of parts.servers.values()) {
         if (sums.has(taker.vm.id) || taker.role !== 'mixed') continue;
-        for (const lane of queue.lanes()) {
-          const server = parts.servers.get(lane.server ?? '');
-          const backlog = sums.get(lane.server ?? '');
+        for (const subqueue of queue.subqueues()) {
+          const server = parts.servers.get(subqueue.server ?? '');
+          const backlog = sums.get(subqueue.server ?? '');
           if (server === undefined || backlog === undefined) continue;
           const ownMs = resolveWorkMs(
             [server],
@@ -274,20 +293,20 @@
             now,
             termsFor([...parts.servers.values()]),
           );
-          const waiting = findTakeOver(taker, lane, ownMs, now);
+          const waiting = findTakeOver(taker, subqueue, ownMs, now);
           if (waiting !== undefined)
-            return { waiting, chosen: { server: taker, prefill: undefined } };
+            return { waiting, choice: { server: taker, prefill: undefined } };
         }
       }
       return undefined;
     },
-    forecast(waiting, now) {
+    estimate(waiting, now) {
       const candidates = listCandidates(waiting.query);
       return forecast(waiting, findServing(waiting), candidates, now);
     },
     longestQueue() {
       const longest: TeamQueue[] = [];
-      for (const { teams } of queue.lanes()) {
+      for (const { teams } of queue.subqueues()) {
         const found = findLongest(teams.values());
         if (found !== undefined) longest.push(found);
       }
@@ -306,7 +325,7 @@
 
 function leastUncached(query: PermitQuery, candidates: readonly Server[]): number {
   let least = query.promptTokens;
-  for (const server of candidates) least = Math.min(least, tokensUncached(server, query));
+  for (const server of candidates) least = Math.min(least, countUncachedTokens(server, query));
   return least;
 }
 
@@ -317,16 +336,20 @@
 /** Time of a request that waits for a server, with what it adds to the work there. */
 function assignedMs(
   server: Server,
-  guest: Guest,
-  toRead: number,
+  request: ClassifiedRequest,
+  uncachedTokens: number,
   replaced: number,
-  { waitMs }: Forecast,
+  { queueingMs }: LatencyEstimate,
   now: number,
 ): number {
-  const ownMs = readMs(server, tokensAhead(server, guest.isLong) + toRead, now);
+  const ownMs = readMs(
+    server,
+    countPrefillQueueTokens(server, request.isLong) + uncachedTokens,
+    now,
+  );
   const replacedMs = readMs(server, replaced, now) - readMs(server, 0, now);
-  const writeMs = resolveSharedWriteMs(server, guest, now);
-  return (waitMs + ownMs + replacedMs + writeMs) * doubtOf(server);
+  const decodeMs = resolveSharedDecodeMs(server, request, now);
+  return (queueingMs + ownMs + replacedMs + decodeMs) * resolveHealthPenalty(server);
 }
 
 /** Share of a prompt that is looked at for its home: questions after a common text differ. */
@@ -359,8 +382,8 @@
  *
  * @param queue the queue of a team
  */
-export function findLeastUrgent(queue: TeamQueue): Waiting | undefined {
-  let last: Waiting | undefined;
+export function findLeastUrgent(queue: TeamQueue): WaitingRequest | undefined {
+  let last: WaitingRequest | undefined;
   for (const waiting of queue.heap.items()) {
     if (last === undefined || compareLastFirst(waiting, last) < 0) last = waiting;
   }
@@ -372,12 +395,14 @@
  *
  * @param queue the queue of a team
  */
-export function resolveLastFirst(queue: TeamQueue): Waiting[] {
+export function sortLeastUrgentFirst(queue: TeamQueue): WaitingRequest[] {
   const waiting = [...queue.heap.items()];
   waiting.sort(compareLastFirst);
   return waiting;
 }
 
-function compareLastFirst(left: Waiting, right: Waiting): number {
-  return right.query.priority - left.query.priority || right.firstTokenBy - left.firstTokenBy;
+function compareLastFirst(left: WaitingRequest, right: WaitingRequest): number {
+  return (
+    right.query.priority - left.query.priority || right.firstTokenDeadline - left.firstTokenDeadline
+  );
 }
--- a/src/permits/shard-holder.ts
+++ b/src/permits/shard-holder.ts
@@ -24,41 +24,41 @@
 import type { CacheEvent, EngineState, ServiceState, Vm } from '../ports/index.js';
 import type { Decisions } from '../settings/index.js';
 import type { Clock, Timer } from '../task/index.js';
-import type { Forecast } from './admission.js';
-import type { Chosen } from './choice.js';
-import { isUsable, type Membership } from './eligibility.js';
+import type { LatencyEstimate } from './admission.js';
+import type { ServerChoice } from './choice.js';
+import { isUsable, type GroupMembership } from './eligibility.js';
 import { createFairShare, type TeamCharge } from './fair-share.js';
 import {
-  learnFirstToken,
-  learnHandover,
-  learnOverdue,
-  learnRelease,
+  recordFirstToken,
+  recordHandover,
+  recordOverdue,
+  recordRelease,
   resolveServedTokens,
 } from './feedback.js';
 import {
-  listHopeless,
+  listUnservable,
   listLate,
-  listOverdue,
-  resolveLateMs,
+  listExpired,
+  resolveLatenessMs,
   RETRY_AFTER_MS,
-  type GivenUp,
-} from './giving-up.js';
-import { createAdopted, createGrant, resolvePermitId, resolvePrefillId } from './granting.js';
+  type ShedRequest,
+} from './shedding.js';
+import { createAdoptedPermit, createGrant, resolvePermitId, resolvePrefillId } from './granting.js';
 import { createLineFit } from './line-fit.js';
 import { createOutputEstimate } from './output-estimate.js';
-import { createFairQueue, type Lane, type Waiting } from './queue.js';
+import { createFairQueue, type Subqueue, type WaitingRequest } from './queue.js';
 import { createRecentUse } from './recent-use.js';
 import { createPermitRefusal, type RefusalReason } from './refusals.js';
 import {
   addPermit,
   createServer,
-  freeSlots,
-  learnEngine,
-  learnService,
+  countFreeSlots,
+  applyEngineState,
+  applyServiceState,
   removePermit,
-  tokensUncached,
+  countUncachedTokens,
   type GrantedPermit,
-  type Guest,
+  type ClassifiedRequest,
   type Server,
 } from './server.js';
 import { createShardDecisions, findLeastUrgent, type Assignment } from './shard-decisions.js';
@@ -76,7 +76,7 @@
 ];
 
 /** What a shard holder needs. */
-export interface ShardHolderParts extends Membership {
+export interface ShardHolderParts extends GroupMembership {
   shard: string;
   node: string;
   fence: number;
@@ -156,18 +156,22 @@
     const candidates = decisions.candidates(wish);
     if (candidates.length === 0) return Promise.resolve(refuse('no-server', RETRY_AFTER_MS));
     const now = clock.now();
-    const guest = createGuest(wish, candidates, now);
+    const request = createGuest(wish, candidates, now);
     if (wish.attempt === 1) noteDemand(wish, candidates, now);
-    const assignment = decisions.assign(guest, candidates, now);
-    const refusal = refuseLate(guest, assignment.forecast) ?? refuseFull(wish.team);
+    const assignment = decisions.assign(request, candidates, now);
+    const refusal = refuseLate(request, assignment.estimate) ?? refuseFull(wish.team);
     if (refusal !== undefined) return Promise.resolve(refusal);
     return new Promise((resolve) => {
-      enqueue(createWaiting(asker, guest, assignment, now, resolve), assignment.server);
+      enqueue(createWaiting(asker, request, assignment, now, resolve), assignment.server);
       dispatch();
     });
   }
 
-  function createGuest(query: PermitQuery, candidates: readonly Server[], now: number): Guest {
+  function createGuest(
+    query: PermitQuery,
+    candidates: readonly Server[],
+    now: number,
+  ): ClassifiedRequest {
     const isLong = decisions.isLong(query, candidates, now);
     const isBeyondShare = switches.fairness && recent.isBeyondShare(query.team, now);
     return { query, isLong, isBeyondShare };
@@ -181,7 +185,7 @@
   function noteDemand(query: PermitQuery, candidates: readonly Server[], now: number): void {
     let promptTokens = query.promptTokens;
     for (const server of candidates) {
-      promptTokens = Math.min(promptTokens, tokensUncached(server, query));
+      promptTokens = Math.min(promptTokens, countUncachedTokens(server, query));
     }
     const { group, class: name, expectedOutputTokens: outputTokens } = query;
     demand.add({ group, class: name, promptTokens, outputTokens }, now);
@@ -189,48 +193,48 @@
 
   function withLearnedLength(query: PermitQuery): PermitQuery {
     if (parts.kind === 'plain-service' || query.attempt > 1) return query;
-    const expected = lengths.expect(query, query.expectedOutputTokens);
+    const expected = lengths.estimate(query, query.expectedOutputTokens);
     const most = query.maxOutputTokens ?? expected;
     return { ...query, expectedOutputTokens: Math.max(1, Math.min(expected, most)) };
   }
 
   function createWaiting(
     asker: string,
-    guest: Guest,
-    { server, toRead, forecast }: Assignment,
+    request: ClassifiedRequest,
+    { server, uncachedTokens, estimate: forecast }: Assignment,
     now: number,
     answer: (answer: PermitAnswer) => void,
-  ): Waiting {
-    const { query, isLong, isBeyondShare } = guest;
-    const firstTokenBy = now + query.firstTokenInMs;
-    const readMs = switches.admission ? forecast.readMs : 0;
+  ): WaitingRequest {
+    const { query, isLong, isBeyondShare } = request;
+    const firstTokenDeadline = now + query.firstTokenInMs;
+    const readMs = switches.admission ? forecast.prefillMs : 0;
     return {
       query,
       node: asker,
-      since: now,
-      firstTokenBy,
-      startBy: Math.max(now, firstTokenBy - readMs),
+      arrivedAt: now,
+      firstTokenDeadline: firstTokenDeadline,
+      latestGrantAt: Math.max(now, firstTokenDeadline - readMs),
       isLong,
       isBeyondShare,
-      expectedWaitMs: forecast.waitMs,
-      toRead,
+      expectedWaitMs: forecast.queueingMs,
+      uncachedTokens: uncachedTokens,
       server: server?.vm.id,
       answer,
     };
   }
 
-  function enqueue(waiting: Waiting, server: Server | undefined): void {
+  function enqueue(waiting: WaitingRequest, server: Server | undefined): void {
     server?.plannedPrefixes.add(waiting.query.prefixes);
     queue.add(waiting);
   }
 
   /** The server that a request waited for no longer takes it. */
-  function reassign(waiting: Waiting): void {
+  function reassign(waiting: WaitingRequest): void {
     queue.remove(waiting);
     const candidates = decisions.candidates(waiting.query);
-    const { server, toRead } = decisions.assign(waiting, candidates, clock.now());
+    const { server, uncachedTokens } = decisions.assign(waiting, candidates, clock.now());
     waiting.server = server?.vm.id;
-    waiting.toRead = toRead;
+    waiting.uncachedTokens = uncachedTokens;
     enqueue(waiting, server);
   }
 
@@ -240,11 +244,14 @@
     return createPermitRefusal(node, reason, bounded);
   }
 
-  function refuseLate({ query }: Guest, forecast: Forecast): PermitAnswer | undefined {
+  function refuseLate(
+    { query }: ClassifiedRequest,
+    forecast: LatencyEstimate,
+  ): PermitAnswer | undefined {
     if (!switches.admission) return undefined;
-    const lateMs = resolveLateMs(query, forecast);
+    const lateMs = resolveLatenessMs(query, forecast);
     if (lateMs <= 0) return undefined;
-    if (lateMs > forecast.waitMs) return refuse('never-in-time', RETRY_AFTER_MS);
+    if (lateMs > forecast.queueingMs) return refuse('never-in-time', RETRY_AFTER_MS);
     return refuse('too-late', lateMs);
   }
 
@@ -252,33 +259,34 @@
   function refuseFull(team: string): PermitAnswer | undefined {
     if (queue.size() < parts.maxQueue) return undefined;
     const longest = decisions.longestQueue();
-    if (longest === undefined || longest.team === team) return refuse('queue-full', waits.turnMs());
+    if (longest === undefined || longest.team === team)
+      return refuse('queue-full', waits.releaseIntervalMs());
     const last = findLeastUrgent(longest);
-    if (last !== undefined) giveUp(last, 'queue-full', waits.turnMs());
+    if (last !== undefined) giveUp(last, 'queue-full', waits.releaseIntervalMs());
     return undefined;
   }
 
-  function giveUp(waiting: Waiting, reason: RefusalReason, retryAfterMs?: number): void {
+  function giveUp(waiting: WaitingRequest, reason: RefusalReason, retryAfterMs?: number): void {
     if (!queue.remove(waiting)) return;
-    const waitedMs = clock.now() - waiting.since;
+    const waitedMs = clock.now() - waiting.arrivedAt;
     if (reason === 'not-in-time') {
       waits.observeWait(waiting.isLong, waiting.expectedWaitMs, waitedMs);
     }
     waiting.answer(refuse(reason, retryAfterMs));
   }
 
-  /** Grants as long as the first in turn of any lane finds room. */
+  /** Grants as long as the first in turn of any subqueue finds room. */
   function dispatch(): void {
     if (stopped) return;
-    const blocked = new Set<Lane>();
+    const blocked = new Set<Subqueue>();
     for (;;) {
       const head = queue.first(blocked);
       if (head === undefined) break;
-      const { waiting, lane } = head;
+      const { waiting, subqueue } = head;
       const now = clock.now();
       const chosen = decisions.place(waiting, now);
       if (chosen !== undefined) grant(waiting, chosen);
-      else if (decisions.isServed(waiting, now)) blocked.add(lane);
+      else if (decisions.isAssignmentValid(waiting, now)) blocked.add(subqueue);
       else reassign(waiting);
     }
     takeOver();
@@ -289,13 +297,13 @@
   /** Servers with nothing to do take from the queues of others what gains by it. */
   function takeOver(): void {
     for (;;) {
-      const taken = decisions.takeOver(clock.now());
+      const taken = decisions.steal(clock.now());
       if (taken === undefined) return;
-      grant(taken.waiting, taken.chosen);
+      grant(taken.waiting, taken.choice);
     }
   }
 
-  function grant(waiting: Waiting, chosen: Chosen): void {
+  function grant(waiting: WaitingRequest, chosen: ServerChoice): void {
     const { query } = waiting;
     const { team, weight } = query;
     const now = clock.now();
@@ -321,7 +329,7 @@
 
   function isActive(): boolean {
     if (queue.size() > 0) return true;
-    for (const { readers } of servers.values()) {
+    for (const { prefilling: readers } of servers.values()) {
       if (readers.size > 0) return true;
     }
     return false;
@@ -329,9 +337,9 @@
 
   function step(): void {
     const now = clock.now();
-    for (const server of servers.values()) learnOverdue(server, now);
-    giveUpAll(listOverdue(queue, now));
-    giveUpAll(listHopeless(queue, decisions));
+    for (const server of servers.values()) recordOverdue(server, now);
+    giveUpAll(listExpired(queue, now));
+    giveUpAll(listUnservable(queue, decisions));
     const usableNow = countUsable();
     if (usableNow < usable && switches.admission) giveUpAll(listLate(queue, decisions, now));
     usable = usableNow;
@@ -339,7 +347,7 @@
   }
 
   /** Whoever can no longer be on time hears so at once. */
-  function giveUpAll(found: Iterable<GivenUp>): void {
+  function giveUpAll(found: Iterable<ShedRequest>): void {
     for (const { waiting, reason, retryAfterMs } of found) {
       giveUp(waiting, reason, retryAfterMs);
     }
@@ -367,7 +375,7 @@
     const reader = servers.get(permit.prefillServer ?? '');
     const reading = reader?.permits.get(resolvePrefillId(permit.permitId));
     if (reader === undefined || reading === undefined) return;
-    if (prefillMs !== undefined) learnFirstToken(reader, reading, prefillMs, clock.now());
+    if (prefillMs !== undefined) recordFirstToken(reader, reading, prefillMs, clock.now());
     removePermit(reader, reading.permitId);
   }
 
@@ -390,8 +398,8 @@
       const permit = server?.permits.get(progress.permitId);
       if (server === undefined || permit === undefined) return;
       const now = clock.now();
-      learnFirstToken(server, permit, progress.firstTokenMs, now);
-      learnHandover(handoverMs, permit, progress, now);
+      recordFirstToken(server, permit, progress.firstTokenMs, now);
+      recordHandover(handoverMs, permit, progress, now);
       endPrefill(permit, progress.prefillMs);
       dispatch();
     },
@@ -401,11 +409,11 @@
       if (server === undefined || permit === undefined) return;
       const now = clock.now();
       const { team, weight, charged } = permit;
-      learnRelease(server, permit, release, now);
+      recordRelease(server, permit, release, now);
       if (release.result === 'answered' && permit.isFirstAttempt) {
         lengths.observe(permit, release.outputTokens);
       }
-      waits.observeEnd(now);
+      waits.observeRelease(now);
       endPrefill(permit, undefined);
       removePermit(server, permit.permitId);
       charge({ team, weight, tokens: resolveServedTokens(release, server) - charged });
@@ -421,7 +429,7 @@
         inUse.add(adopted.permitId);
         const server = servers.get(adopted.server);
         if (server === undefined) continue;
-        addPermit(server, createAdopted(adopted, adoption.node, server, clock.now()));
+        addPermit(server, createAdoptedPermit(adopted, adoption.node, server, clock.now()));
       }
       dropUnused(adoption.node, inUse);
     },
@@ -444,13 +452,13 @@
     updateEngine(state) {
       const server = servers.get(state.id);
       if (server === undefined) return;
-      learnEngine(server, state);
+      applyEngineState(server, state);
       dispatch();
     },
     updateService(state) {
       const server = servers.get(state.id);
       if (server === undefined) return;
-      learnService(server, state);
+      applyServiceState(server, state);
       dispatch();
     },
     applyCacheEvents(id, events) {
@@ -465,7 +473,7 @@
     },
     recordMissedAnswer(id) {
       const server = servers.get(id);
-      if (server !== undefined) server.silences += 1;
+      if (server !== undefined) server.missedAnswers += 1;
     },
     holdForOrder(id, isHeld) {
       const server = servers.get(id);
@@ -479,7 +487,7 @@
     summary() {
       const summaries = [];
       for (const server of servers.values()) {
-        const free = isUsable(server, parts) ? Math.max(0, freeSlots(server)) : 0;
+        const free = isUsable(server, parts) ? Math.max(0, countFreeSlots(server)) : 0;
         summaries.push({ id: server.vm.id, free, role: server.role });
       }
       return { shard, holder: node, fence, sequence, waiting: queue.size(), servers: summaries };
--- a/src/permits/giving-up.ts
+++ b/src/permits/shedding.ts
@@ -4,17 +4,17 @@
  * each one out of the queue before the next.
  */
 import type { PermitQuery } from '../links/index.js';
-import type { Forecast } from './admission.js';
-import type { FairQueue, Waiting } from './queue.js';
+import type { LatencyEstimate } from './admission.js';
+import type { FairQueue, WaitingRequest } from './queue.js';
 import type { RefusalReason } from './refusals.js';
-import { resolveLastFirst, type ShardDecisions } from './shard-decisions.js';
+import { sortLeastUrgentFirst, type ShardDecisions } from './shard-decisions.js';
 
 /** When to come back after a refusal that says nothing of the queue, in milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 
 /** A request that stops waiting. */
-export interface GivenUp {
-  waiting: Waiting;
+export interface ShedRequest {
+  waiting: WaitingRequest;
   reason: RefusalReason;
   /** When asking again makes sense, in milliseconds. */
   retryAfterMs: number;
@@ -26,9 +26,9 @@
  * @param queue the shard's queue
  * @param now the time on the holder's clock
  */
-export function* listOverdue(queue: FairQueue, now: number): Generator<GivenUp> {
+export function* listExpired(queue: FairQueue, now: number): Generator<ShedRequest> {
   for (;;) {
-    const waiting = queue.overdue(now);
+    const waiting = queue.expired(now);
     if (waiting === undefined) return;
     const retryAfterMs = Math.max(RETRY_AFTER_MS, waiting.expectedWaitMs);
     yield { waiting, reason: 'not-in-time', retryAfterMs };
@@ -41,14 +41,14 @@
  * @param queue the shard's queue
  * @param decisions who can serve what
  */
-export function* listHopeless(
+export function* listUnservable(
   queue: FairQueue,
   decisions: Pick<ShardDecisions, 'candidates'>,
-): Generator<GivenUp> {
-  for (const { teams } of [...queue.lanes()]) {
+): Generator<ShedRequest> {
+  for (const { teams } of [...queue.subqueues()]) {
     for (const team of [...teams.values()]) {
       const first = team.heap.peek();
-      // All requests of a lane can go to the same servers.
+      // All requests of a subqueue can go to the same servers.
       if (first === undefined || decisions.candidates(first.query).length > 0) break;
       for (const waiting of [...team.heap.items()]) {
         yield { waiting, reason: 'no-server', retryAfterMs: RETRY_AFTER_MS };
@@ -67,16 +67,16 @@
  */
 export function* listLate(
   queue: FairQueue,
-  decisions: Pick<ShardDecisions, 'forecast'>,
+  decisions: Pick<ShardDecisions, 'estimate'>,
   now: number,
-): Generator<GivenUp> {
-  for (const { teams } of [...queue.lanes()]) {
+): Generator<ShedRequest> {
+  for (const { teams } of [...queue.subqueues()]) {
     for (const team of [...teams.values()]) {
-      for (const waiting of resolveLastFirst(team)) {
-        const passedMs = now - waiting.since;
-        const retryAfterMs = resolveLateMs(
+      for (const waiting of sortLeastUrgentFirst(team)) {
+        const passedMs = now - waiting.arrivedAt;
+        const retryAfterMs = resolveLatenessMs(
           waiting.query,
-          decisions.forecast(waiting, now),
+          decisions.estimate(waiting, now),
           passedMs,
         );
         if (retryAfterMs <= 0) break;
@@ -93,12 +93,12 @@
  * @param forecast what is foretold from now on
  * @param passedMs time that has passed since it came
  */
-export function resolveLateMs(
+export function resolveLatenessMs(
   query: PermitQuery,
-  { waitMs, readMs, writeMs }: Forecast,
+  { queueingMs, prefillMs: readMs, decodeMs }: LatencyEstimate,
   passedMs = 0,
 ): number {
-  const firstTokenMs = passedMs + waitMs + readMs;
-  const endMs = firstTokenMs + writeMs;
+  const firstTokenMs = passedMs + queueingMs + readMs;
+  const endMs = firstTokenMs + decodeMs;
   return Math.max(firstTokenMs - query.firstTokenInMs, endMs - query.deadlineInMs);
 }
--- a/src/permits/team-queue.ts
+++ b/src/permits/team-queue.ts
@@ -3,7 +3,7 @@
  * it the earliest first-token time. Sums are kept by priority, so that the work ahead of a request
  * is known without a walk.
  */
-import type { Waiting } from './queue.js';
+import type { WaitingRequest } from './queue.js';
 import { createOrderedHeap, type OrderedHeap } from './ordered-heap.js';
 
 /** Work that waits. */
@@ -13,14 +13,14 @@
   outputTokens: number;
 }
 
-/** The queue of one team within a lane. */
+/** The queue of one team within a subqueue. */
 export interface TeamQueue {
   readonly team: string;
   readonly weight: number;
-  readonly heap: OrderedHeap<Waiting>;
-  add(waiting: Waiting): void;
+  readonly heap: OrderedHeap<WaitingRequest>;
+  add(waiting: WaitingRequest): void;
   /** @returns whether it was there */
-  remove(waiting: Waiting): boolean;
+  remove(waiting: WaitingRequest): boolean;
   /** Everything that waits, or only what is at least as urgent as a priority. */
   backlog(priority?: number): Backlog;
 }
@@ -35,10 +35,10 @@
   const heap = createOrderedHeap(isSooner);
   const backlogs = new Map<number, Backlog>();
 
-  function count({ query, toRead }: Waiting, sign: 1 | -1): void {
+  function count({ query, uncachedTokens }: WaitingRequest, sign: 1 | -1): void {
     const backlog = backlogs.get(query.priority) ?? createBacklog();
     backlog.requests += sign;
-    backlog.promptTokens += sign * toRead;
+    backlog.promptTokens += sign * uncachedTokens;
     backlog.outputTokens += sign * query.expectedOutputTokens;
     if (backlog.requests > 0) backlogs.set(query.priority, backlog);
     else backlogs.delete(query.priority);
@@ -85,10 +85,10 @@
   sum.outputTokens += more.outputTokens * share;
 }
 
-function isSooner(left: Waiting, right: Waiting): boolean {
+function isSooner(left: WaitingRequest, right: WaitingRequest): boolean {
   const order =
     left.query.priority - right.query.priority ||
-    left.firstTokenBy - right.firstTokenBy ||
-    left.since - right.since;
+    left.firstTokenDeadline - right.firstTokenDeadline ||
+    left.arrivedAt - right.arrivedAt;
   return order < 0;
 }
--- a/src/permits/wait-record.ts
+++ b/src/permits/wait-record.ts
@@ -8,11 +8,11 @@
   /** A request waited so long; where it was given up, it would have waited longer. */
   observeWait(isLong: boolean, foretoldMs: number, waitedMs: number): void;
   /** A permit ended. */
-  observeEnd(now: number): void;
+  observeRelease(now: number): void;
   /** Factor by which waits turned out longer than foretold. */
   correction(isLong: boolean): number;
   /** Time between two ends of permits; 0 until two were seen. */
-  turnMs(): number;
+  releaseIntervalMs(): number;
 }
 
 const NEWEST_WEIGHT = 0.05;
@@ -37,7 +37,7 @@
       const target = Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, corrected));
       corrections[kind] += (target - corrections[kind]) * NEWEST_WEIGHT;
     },
-    observeEnd(now) {
+    observeRelease(now) {
       if (lastEnd !== undefined) {
         const pauseMs = Math.min(LONGEST_TURN_MS, now - lastEnd);
         turnMs += (pauseMs - turnMs) * NEWEST_WEIGHT;
@@ -45,6 +45,6 @@
       lastEnd = now;
     },
     correction: (isLong) => corrections[isLong ? 'long' : 'short'],
-    turnMs: () => turnMs,
+    releaseIntervalMs: () => turnMs,
   };
 }
--- a/src/planner/role-planning.ts
+++ b/src/planner/role-planning.ts
@@ -5,7 +5,7 @@
 import type { Result } from 'ts-results-es';
 import type { EngineGroup } from '../configuration/index.js';
 import type { Failure } from '../errors/index.js';
-import { resolveUsualBatch, type Server, type ShardHolder } from '../permits/index.js';
+import { resolveTypicalBatch, type Server, type ShardHolder } from '../permits/index.js';
 import type { Order, Vm } from '../ports/index.js';
 import type { Clock, Timer } from '../task/index.js';
 import type { ClassDemand } from './demand.js';
@@ -139,7 +139,7 @@
   fairness: false,
   shortReserve: false,
   ejection: false,
-  pardoned: new Set<Server>(),
+  ejectionExempt: new Set<Server>(),
 };
 
 /**
@@ -162,11 +162,14 @@
 
 function resolvePromptRate(server: Server, now: number): number {
   if (server.role !== 'prefill') return server.prefillTokensPerSecond;
-  return Math.min(server.prefillTokensPerSecond, server.rates.tokensReadIn(MS_PER_SECOND, now));
+  return Math.min(
+    server.prefillTokensPerSecond,
+    server.rates.tokensPrefilledIn(MS_PER_SECOND, now),
+  );
 }
 
 function resolveOutputRate(server: Server, now: number): number {
-  const batch = resolveUsualBatch(server, now, unbounded);
+  const batch = resolveTypicalBatch(server, now, unbounded);
   const nominal = batch * server.decodeTokensPerSecond;
   if (server.role !== 'decode') return nominal;
   return Math.min(nominal, (batch * MS_PER_SECOND) / server.rates.stepMs(batch, now));
--- a/src/router/completion.ts
+++ b/src/router/completion.ts
@@ -241,7 +241,7 @@
   function createWish(job: CompletionJob, progress: Progress): PlaceWish {
     const { team, requestClass } = job;
     const key = { team: team.name, class: requestClass.name };
-    const expected = estimate.expect(key, requestClass.expectedOutputTokens);
+    const expected = estimate.estimate(key, requestClass.expectedOutputTokens);
     // What was begun is finished, late if need be: each attempt has the whole time anew. It is not
     // unbounded, because an answer of the holder that was lost is waited for as long.
     const countedFrom = progress.mayHaveRun ? clock.now() : job.arrivedAt;
--- a/test/permits/learning.test.ts
+++ b/test/permits/learning.test.ts
@@ -29,32 +29,32 @@
 
   it('gives a failing server less, then nothing, then a probe after longer and longer pauses', () => {
     const health = createServerHealth();
-    health.note('bad', 0);
-    health.note('bad', 0);
+    health.record('bad', 0);
+    health.record('bad', 0);
     expect(health.limit(32, 0)).to.be.within(1, 31);
-    health.note('bad', 0);
+    health.record('bad', 0);
     expect([health.limit(32, 499), health.limit(32, 500)]).to.deep.equal([0, 1]);
-    health.note('bad', 500);
+    health.record('bad', 500);
     expect([health.limit(32, 1_499), health.limit(32, 1_500)]).to.deep.equal([0, 1]);
-    health.note('good', 1_500);
+    health.record('good', 1_500);
     expect(health.limit(32, 1_500)).to.be.within(2, 31);
-    for (let index = 0; index < 10; index += 1) health.note('good', 1_500);
+    for (let index = 0; index < 10; index += 1) health.record('good', 1_500);
     expect(health.limit(32, 1_500)).to.equal(32);
   });
 
   it('takes many streams that break at once for one failure', () => {
     const health = createServerHealth();
-    for (let index = 0; index < 30; index += 1) health.note('bad', 0);
-    expect(health.pausedUntil()).to.equal(500);
+    for (let index = 0; index < 30; index += 1) health.record('bad', 0);
+    expect(health.ejectedUntil()).to.equal(500);
   });
 
   it('assumes a class until a team is known, and what is configured until the class is', () => {
     const estimate = createOutputEstimate();
-    expect(estimate.expect({ team: 'a', class: 'verdict' }, 128)).to.equal(128);
+    expect(estimate.estimate({ team: 'a', class: 'verdict' }, 128)).to.equal(128);
     estimate.observe({ team: 'a', class: 'verdict' }, 24);
-    expect(estimate.expect({ team: 'a', class: 'verdict' }, 128)).to.equal(24);
-    expect(estimate.expect({ team: 'b', class: 'verdict' }, 128)).to.equal(24);
-    expect(estimate.expect({ team: 'b', class: 'other' }, 128)).to.equal(128);
+    expect(estimate.estimate({ team: 'a', class: 'verdict' }, 128)).to.equal(24);
+    expect(estimate.estimate({ team: 'b', class: 'verdict' }, 128)).to.equal(24);
+    expect(estimate.estimate({ team: 'b', class: 'other' }, 128)).to.equal(128);
   });
 
   it('knows who is beyond its share, by weight and while others are served', () => {
--- a/test/permits/queue.test.ts
+++ b/test/permits/queue.test.ts
@@ -5,12 +5,12 @@
   createFairShare,
   FAIR_BAND_TOKENS,
   IDLE_CREDIT_TOKENS,
-  type Lane,
-  type Waiting,
+  type Subqueue,
+  type WaitingRequest,
 } from '../../src/permits/index.js';
 import type { PermitQuery } from '../../src/links/index.js';
 
-const noLanes: ReadonlySet<Lane> = new Set();
+const noLanes: ReadonlySet<Subqueue> = new Set();
 
 function createQueue(isFair = true) {
   const share = createFairShare();
@@ -19,7 +19,10 @@
 
 let ids = 0;
 
-function createWaiting(query: Partial<PermitQuery>, more: Partial<Waiting> = {}): Waiting {
+function createWaiting(
+  query: Partial<PermitQuery>,
+  more: Partial<WaitingRequest> = {},
+): WaitingRequest {
   ids += 1;
   return {
     query: {
@@ -43,13 +46,13 @@
       ...query,
     },
     node: 'entry-1',
-    since: 0,
-    firstTokenBy: 1_000,
-    startBy: 1_000,
+    arrivedAt: 0,
+    firstTokenDeadline: 1_000,
+    latestGrantAt: 1_000,
     isLong: false,
     isBeyondShare: false,
     expectedWaitMs: 0,
-    toRead: 100,
+    uncachedTokens: 100,
     server: undefined,
     answer: () => undefined,
     ...more,
@@ -124,11 +127,11 @@
 
   it('orders a team by priority, then by first-token time', () => {
     const { queue } = createQueue();
-    const last = createWaiting({ priority: 3 }, { firstTokenBy: 1 });
-    const second = createWaiting({}, { firstTokenBy: 900 });
-    const first = createWaiting({}, { firstTokenBy: 800 });
+    const last = createWaiting({ priority: 3 }, { firstTokenDeadline: 1 });
+    const second = createWaiting({}, { firstTokenDeadline: 900 });
+    const first = createWaiting({}, { firstTokenDeadline: 800 });
     for (const waiting of [last, second, first]) queue.add(waiting);
-    const order: (Waiting | undefined)[] = [];
+    const order: (WaitingRequest | undefined)[] = [];
     for (let turn = 0; turn < 3; turn += 1) {
       const waiting = queue.first(noLanes)?.waiting;
       order.push(waiting);
@@ -140,13 +143,13 @@
 
   it('finds a wish by its name, and a request whose latest start has passed', () => {
     const { queue } = createQueue();
-    const waiting = createWaiting({ requestId: 'named' }, { startBy: 500 });
-    queue.add(createWaiting({}, { startBy: 700 }));
+    const waiting = createWaiting({ requestId: 'named' }, { latestGrantAt: 500 });
+    queue.add(createWaiting({}, { latestGrantAt: 700 }));
     queue.add(waiting);
     expect(queue.find({ node: 'entry-1', requestId: 'named', attempt: 1 })).to.equal(waiting);
     expect(queue.find({ node: 'entry-2', requestId: 'named', attempt: 1 })).to.equal(undefined);
-    expect(queue.overdue(499)).to.equal(undefined);
-    expect(queue.overdue(500)).to.equal(waiting);
+    expect(queue.expired(499)).to.equal(undefined);
+    expect(queue.expired(500)).to.equal(waiting);
   });
 
   it('looks past a lane that found no room', () => {
@@ -158,6 +161,6 @@
     const head = queue.first(noLanes);
     expect(head?.waiting).to.equal(long);
     if (head === undefined) return;
-    expect(queue.first(new Set([head.lane]))?.waiting).to.equal(short);
+    expect(queue.first(new Set([head.subqueue]))?.waiting).to.equal(short);
   });
 });
--- a/test/permits/shard-holder.test.ts
+++ b/test/permits/shard-holder.test.ts
@@ -40,9 +40,11 @@
         }
         await drive.advance(20_000);
         for (const server of drive.holder.servers()) {
-          expect([server.permits.size, server.readers.size, server.reservedTokens]).to.deep.equal([
-            0, 0, 0,
-          ]);
+          expect([
+            server.permits.size,
+            server.prefilling.size,
+            server.reservedTokens,
+          ]).to.deep.equal([0, 0, 0]);
         }
         for (const { endMs, refusal, server } of drive.outcomes) {
           // A request that was neither answered nor refused was cut by a crash.
