--- a/src/permits/admission.ts
+++ b/src/permits/admission.ts
@@ -1,8 +1,7 @@
 /**
- * When a request's first token may be expected, from the work that goes before it, the servers'
- * learned rates and the fair share of its team. Another team's queue counts only as far as that
- * team's turns come first, so a large team's queue takes a small team's chance from it by no more
- * than its share.
+ * Estimates the latency of a request from the work queued ahead of it, the learned rates of the
+ * servers and the fair share of its team. Of another team's queue, only the part that fair queueing
+ * serves first counts, so a long queue of one team does not cause refusals of other teams.
  */
 import type { PermitQuery } from '../links/index.js';
 import { resolveTypicalBatch, resolveWorkMs } from './capacity.js';
@@ -18,9 +17,9 @@
 } from './server.js';
 import { addBacklog, createBacklog, type Backlog, type TeamQueue } from './team-queue.js';
 
-/** When things may be expected, in milliseconds from now. */
+/** Estimated times of a request, in milliseconds. */
 export interface LatencyEstimate {
-  /** Until a permit. */
+  /** Queueing delay until the permit is granted. */
   queueingMs: number;
   /** From the permit to the first token. */
   prefillMs: number;
@@ -28,49 +27,48 @@
   decodeMs: number;
 }
 
-/** A subqueue, as far as it waits for the servers of a forecast. */
+/** A subqueue and the fraction of its work that falls to the servers of an estimate. */
 export interface SubqueuePart {
   subqueue: Subqueue;
   /** From 0 to 1. */
   part: number;
 }
 
-/** What a forecast is made from. */
+/** Input of an estimate. */
 export interface LatencyEstimateInput {
   request: ClassifiedRequest;
-  /** The servers that can serve the request, with room or without. */
+  /** The servers that can serve the request, whether or not they have room. */
   candidates: readonly Server[];
-  /** The subqueues of requests for the same servers. */
+  /** The subqueues that compete for the same servers. */
   subqueues: readonly SubqueuePart[];
   share: FairShare;
   isFair: boolean;
-  /** Factor by which waits turned out longer than foretold. */
+  /** Ratio of measured to estimated queueing delays. */
   correction: number;
-  /** Time between two permits that end, where it is known. */
+  /** Mean time between two releases of permits; 0 if unknown. */
   releaseIntervalMs: number;
   now: number;
   terms: RoomTerms;
 }
 
 /**
- * Foretells a request's times.
+ * Estimates the latency of a request.
  *
- * @param input the request, the servers and what waits
+ * @param input the request, the servers and the queued work
  */
 export function estimateLatency(input: LatencyEstimateInput): LatencyEstimate {
   const { request, candidates, now } = input;
-  const readMs = resolvePrefillMs(request, candidates, now);
-  const decodeMs = resolveWriteMs(input);
-  // What stands in other subqueues found no room, or it would not stand there.
-  const before = resolveAhead(input, isOwnLane);
-  if (before.requests === 0 && hasAnyRoom(input))
-    return { queueingMs: 0, prefillMs: readMs, decodeMs };
+  const prefillMs = resolvePrefillMs(request, candidates, now);
+  const decodeMs = resolveDecodeMs(input);
+  // Requests in other subqueues did not find room, so they do not keep this one from its room.
+  const before = resolveAhead(input, isOwnSubqueue);
+  if (before.requests === 0 && hasAnyRoom(input)) return { queueingMs: 0, prefillMs, decodeMs };
   const ahead = resolveAhead(input, isCompeting);
   const work = resolveWorkMs(candidates, ahead, now, input.terms);
   return {
     queueingMs: work * input.correction + input.releaseIntervalMs,
-    prefillMs: readMs,
-    decodeMs: decodeMs,
+    prefillMs,
+    decodeMs,
   };
 }
 
@@ -97,7 +95,7 @@
   return least;
 }
 
-function resolveWriteMs({ request, candidates, now, terms }: LatencyEstimateInput): number {
+function resolveDecodeMs({ request, candidates, now, terms }: LatencyEstimateInput): number {
   let least = Number.POSITIVE_INFINITY;
   for (const server of candidates) {
     const batch = resolveTypicalBatch(server, now, terms);
@@ -113,18 +111,18 @@
   return false;
 }
 
-/** Whether a request would stand in a subqueue. */
-function isOwnLane(request: ClassifiedRequest, subqueue: Subqueue): boolean {
+/** Whether a request would be added to a subqueue. */
+function isOwnSubqueue(request: ClassifiedRequest, subqueue: Subqueue): boolean {
   return subqueue.isLong === request.isLong && subqueue.isBeyondShare === request.isBeyondShare;
 }
 
-/** Short prompts pass long ones by, and teams within their share those beyond it. */
+/** Short prompts overtake long ones, and teams within their share overtake those beyond it. */
 function isCompeting(request: ClassifiedRequest, subqueue: Subqueue): boolean {
   if (subqueue.isBeyondShare && !request.isBeyondShare) return false;
   return request.isLong || !subqueue.isLong;
 }
 
-/** Work whose turn comes before the request's, in the subqueues that count. */
+/** Work that is served before the request, in the subqueues that `counts` selects. */
 function resolveAhead(
   input: LatencyEstimateInput,
   counts: (request: ClassifiedRequest, subqueue: Subqueue) => boolean,
@@ -151,7 +149,7 @@
   return ahead;
 }
 
-/** The part of another team's queue that is served until this team's turn has come. */
+/** Fraction of another team's queue that is served before this team's service reaches `finish`. */
 function shareBefore(
   queue: TeamQueue,
   share: FairShare,
@@ -170,7 +168,7 @@
   return Number.isFinite(least) ? least : 1;
 }
 
-/** Work in prompt tokens to read. */
+/** Work of a backlog in prefill tokens. */
 function tokensOf({ promptTokens, outputTokens }: Backlog, outputWeight: number): number {
   return promptTokens + outputTokens * outputWeight;
 }
--- a/src/permits/choice.ts
+++ b/src/permits/choice.ts
@@ -1,7 +1,7 @@
 /**
- * Which server a request gets, once it is its turn. A pure decision over the tallies and the
- * learned rates: the server where the request, and what it slows down, takes the least time. Where
- * engines have roles, the prompt may be read on one engine and the answer generated on another.
+ * Chooses the server for the next request: the one with the least estimated time for the request,
+ * including the slowdown of requests already running there. Prefill and decode may go to different
+ * engines if engines have roles. Changes no state.
  */
 import type { PermitQuery } from '../links/index.js';
 import type { LineFit } from './line-fit.js';
@@ -13,97 +13,101 @@
   type Server,
 } from './server.js';
 
-/** Says how much of a prompt a server still has to read. */
+/** Estimates the prompt tokens that need prefill on a server. */
 export interface CacheView {
   countUncachedTokens(server: Server, query: PermitQuery): number;
 }
 
-/** Counts the part of the prompt that a server has cached as read. */
+/** Leaves out the prefixes that the server has cached. */
 export class IndexedCache implements CacheView {
   countUncachedTokens(server: Server, query: PermitQuery): number {
     return countUncachedTokens(server, query);
   }
 }
 
-/** Takes no cache into account: the whole prompt counts on every server. */
+/** Ignores the prefix cache: the whole prompt counts on every server. */
 export class NoCache implements CacheView {
   countUncachedTokens(_server: Server, query: PermitQuery): number {
     return query.promptTokens;
   }
 }
 
-/** Where a request goes. */
+/** The servers chosen for a request. */
 export interface ServerChoice {
   server: Server;
-  /** The server that reads the prompt, when it is another. */
+  /** The server that prefills the prompt, if it is a different one. */
   prefill: Server | undefined;
 }
 
-/** What a choice is made from. */
+/** Input of a choice. */
 export interface ChoiceInput {
   request: ClassifiedRequest;
-  /** Servers that can serve the request, with room or without. */
+  /** Servers that can serve the request, whether or not they have room. */
   candidates: readonly Server[];
   cache: CacheView;
-  /** Whether prompts may be read on one engine and answers generated on another. */
+  /** Whether prefill and decode may run on different engines. */
   handover: boolean;
-  /** Time that a handover takes, in milliseconds, over the tokens handed over. */
+  /** Time of a KV cache handover in milliseconds, by prompt tokens. */
   handoverMs: LineFit;
   now: number;
   terms: RoomTerms;
 }
 
-interface Offer extends ServerChoice {
+interface CostedChoice extends ServerChoice {
   costMs: number;
 }
 
 /**
- * Chooses among the servers with room.
+ * Chooses among the servers with room; `undefined` if there is none.
  *
- * @param input the request, the servers and what is known of them
+ * @param input the request and the candidates
  */
 export function chooseServer(input: ChoiceInput): ServerChoice | undefined {
-  const direct = findDirect(input);
-  const split = input.handover ? findSplit(input) : undefined;
-  if (direct === undefined) return split;
-  return split !== undefined && split.costMs < direct.costMs ? split : direct;
+  const mixed = chooseMixed(input);
+  const pair = input.handover ? choosePair(input) : undefined;
+  if (mixed === undefined) return pair;
+  return pair !== undefined && pair.costMs < mixed.costMs ? pair : mixed;
 }
 
-function findDirect(input: ChoiceInput): Offer | undefined {
+function chooseMixed(input: ChoiceInput): CostedChoice | undefined {
   const { request, now } = input;
-  let best: Offer | undefined;
+  let best: CostedChoice | undefined;
   for (const server of listWithRoom(input)) {
     if (server.role !== 'mixed') continue;
     const costMs =
-      (readMs(server, input) + resolveSharedDecodeMs(server, request, now)) *
+      (resolvePrefillMs(server, input) + resolveSharedDecodeMs(server, request, now)) *
       resolveHealthPenalty(server);
     if (best === undefined || costMs < best.costMs) best = { server, prefill: undefined, costMs };
   }
   return best;
 }
 
-/** The best engine to read on and the best one to generate on, when one of them has a role. */
-function findSplit(input: ChoiceInput): Offer | undefined {
+/** Chooses an engine with the prefill role and another one for decode. */
+function choosePair(input: ChoiceInput): CostedChoice | undefined {
   const { request, handoverMs, now } = input;
-  let reader: Server | undefined;
-  let writer: Server | undefined;
-  let leastReadMs = Number.POSITIVE_INFINITY;
-  let leastWriteMs = Number.POSITIVE_INFINITY;
+  let prefillServer: Server | undefined;
+  let decodeServer: Server | undefined;
+  let leastPrefillMs = Number.POSITIVE_INFINITY;
+  let leastDecodeMs = Number.POSITIVE_INFINITY;
   for (const server of listWithRoom(input)) {
-    const read = readMs(server, input) * resolveHealthPenalty(server);
-    const write = resolveSharedDecodeMs(server, request, now) * resolveHealthPenalty(server);
-    if (server.role === 'prefill' && read < leastReadMs) {
-      reader = server;
-      leastReadMs = read;
+    const prefillMs = resolvePrefillMs(server, input) * resolveHealthPenalty(server);
+    const decodeMs = resolveSharedDecodeMs(server, request, now) * resolveHealthPenalty(server);
+    if (server.role === 'prefill' && prefillMs < leastPrefillMs) {
+      prefillServer = server;
+      leastPrefillMs = prefillMs;
     }
-    if (server.role !== 'prefill' && write < leastWriteMs) {
-      writer = server;
-      leastWriteMs = write;
+    if (server.role !== 'prefill' && decodeMs < leastDecodeMs) {
+      decodeServer = server;
+      leastDecodeMs = decodeMs;
     }
   }
-  if (reader === undefined || writer === undefined) return undefined;
-  const handedMs = handoverMs.valueAt(request.query.promptTokens, now);
-  return { server: writer, prefill: reader, costMs: leastReadMs + handedMs + leastWriteMs };
+  if (prefillServer === undefined || decodeServer === undefined) return undefined;
+  const transferMs = handoverMs.valueAt(request.query.promptTokens, now);
+  return {
+    server: decodeServer,
+    prefill: prefillServer,
+    costMs: leastPrefillMs + transferMs + leastDecodeMs,
+  };
 }
 
 function listWithRoom({ candidates, request, now, terms }: ChoiceInput): Server[] {
@@ -114,7 +118,7 @@
   return withRoom;
 }
 
-function readMs(server: Server, { request, cache, now }: ChoiceInput): number {
+function resolvePrefillMs(server: Server, { request, cache, now }: ChoiceInput): number {
   const uncachedTokens = cache.countUncachedTokens(server, request.query);
   return server.rates.firstTokenMs(
     countPrefillQueueTokens(server, request.isLong) + uncachedTokens,
@@ -123,7 +127,7 @@
 }
 
 /**
- * Time of an answer's tokens on a server, with what they add to every other answer there.
+ * Decode time of a request on a server, including the slowdown of the other requests in its batch.
  *
  * @param server the server
  * @param request the request
@@ -136,15 +140,15 @@
 ): number {
   const { rates, permits, slots } = server;
   const batch = permits.size;
-  const alongsideMs = rates.stepMs(batch + 1, now);
-  const slowdownMs = (alongsideMs - rates.stepMs(batch, now)) * batch;
-  // Idle workers of a plain service are told apart by their load alone.
+  const stepMs = rates.stepMs(batch + 1, now);
+  const slowdownMs = (stepMs - rates.stepMs(batch, now)) * batch;
+  // Decides between workers of a plain service, which generate no tokens.
   const loadMs = (rates.callMs(now) * batch) / Math.max(1, slots);
-  return request.query.expectedOutputTokens * (alongsideMs + slowdownMs) + loadMs;
+  return request.query.expectedOutputTokens * (stepMs + slowdownMs) + loadMs;
 }
 
 /**
- * Factor by which a server's times count for more, for what speaks against it.
+ * Factor, at least 1, that is applied to the estimated times of a server with recent failures.
  *
  * @param server the server
  */
--- a/src/permits/eligibility.ts
+++ b/src/permits/eligibility.ts
@@ -1,39 +1,38 @@
 /**
- * Which servers can serve a request at all, with room or without.
+ * Which servers can serve a request, whether or not they have room.
  */
 import type { PermitQuery } from '../links/index.js';
 import type { Vm } from '../ports/index.js';
 import type { Server } from './server.js';
 
-/** A server that did not answer so often in a row gets no new work until it does. */
-const MAX_SILENCES = 2;
+/** Consecutive missed answers after which a server gets no new work until it answers again. */
+const MAX_MISSED_ANSWERS = 2;
 
-/** What the configuration in force says of a server. */
+/** The groups of servers in the current configuration. */
 export interface GroupMembership {
-  /** Whether a server belongs to a group. */
   isMember(group: string, vm: Vm): boolean;
-  /** Whether operators or the platform's list took a server out of use. */
+  /** Whether an operator or the platform's list took the server out of use. */
   isWithdrawn(vm: Vm): boolean;
 }
 
 /**
- * Whether a server takes new work at all.
+ * Whether a server takes new work.
  *
- * @param server its tally
- * @param membership the configuration in force
+ * @param server the server
+ * @param membership the current configuration
  */
 export function isUsable(server: Server, membership: GroupMembership): boolean {
-  if (server.incarnation === '' || server.missedAnswers >= MAX_SILENCES) return false;
+  if (server.incarnation === '' || server.missedAnswers >= MAX_MISSED_ANSWERS) return false;
   if (server.busy || server.leaving || server.heldForOrder) return false;
   return !membership.isWithdrawn(server.vm);
 }
 
 /**
- * Whether a server can serve a request, whatever its role.
+ * Whether a server can serve a request, regardless of its role.
  *
- * @param server its tally
+ * @param server the server
  * @param query the request
- * @param membership the configuration in force
+ * @param membership the current configuration
  */
 export function canServe(server: Server, query: PermitQuery, membership: GroupMembership): boolean {
   if (!isUsable(server, membership) || query.avoid.includes(server.vm.id)) return false;
--- a/src/permits/engine-priority.ts
+++ b/src/permits/engine-priority.ts
@@ -1,25 +1,25 @@
 /**
- * The priority that a request carries to its engine. Within a class's priority, teams within their
- * share go before those beyond it, and short prompts before long ones.
+ * The priority that is sent to the engine. Within one class priority, teams within their fair share
+ * go before those beyond it, and short prompts before long ones.
  */
 
-/** Priorities of an engine for each priority of a class. */
+/** Engine priorities per class priority. */
 const STEPS = 4;
 const BEYOND_SHARE = 2;
 const LONG_PROMPT = 1;
 
-/** What the priority is made from. */
+/** Properties that determine the engine priority. */
 export interface Urgency {
-  /** The class's priority; lower is sooner. */
+  /** Priority of the request class; lower is more urgent. */
   priority: number;
   isBeyondShare: boolean;
   isLong: boolean;
 }
 
 /**
- * The priority for the engine; lower is sooner.
+ * Returns the engine priority; lower is more urgent.
  *
- * @param urgency the class's priority and what the holder knows
+ * @param urgency the class priority and the holder's classification
  */
 export function resolveEnginePriority({ priority, isBeyondShare, isLong }: Urgency): number {
   return priority * STEPS + (isBeyondShare ? BEYOND_SHARE : 0) + (isLong ? LONG_PROMPT : 0);
--- a/src/permits/fair-share.ts
+++ b/src/permits/fair-share.ts
@@ -1,43 +1,42 @@
 /**
- * What each team was served, in prompt tokens to read over its weight, on one scale for all teams of a shard
- * (start-time fair queueing). A team that was idle starts a bounded credit behind the least served
- * waiting team: enough for a burst of its own, too little to hold anybody up.
+ * Start-time fair queueing over the teams of a shard. The service of a team is counted in prefill
+ * tokens divided by its weight. A team that becomes active starts with a bounded credit below the
+ * least served waiting team.
  *
- * Between teams that differ by less than one band, priority decides; beyond it the less served team
- * goes first whatever the priority. So no team's traffic, however urgent it is said to be, takes
- * more than its share for longer than a band.
+ * Priority decides between teams in the same band of service; otherwise the less served team goes
+ * first regardless of priority. This bounds how far high-priority traffic can exceed its share.
  */
 
-/** A team's use of a shard. */
+/** Service given to a team. */
 export interface TeamCharge {
   team: string;
   weight: number;
-  /** Tokens served; negative to give some back. */
+  /** Work in prefill tokens; negative for a refund. */
   tokens: number;
 }
 
-/** The account of every team. */
+/** The service that each team received, in prefill tokens divided by weight. */
 export interface FairShare {
-  /** A team begins to wait. */
+  /** Called when a team has its first waiting request. */
   activate(team: string): void;
   charge(charge: TeamCharge): void;
-  /** The least served of those that wait stands here now; never goes back. */
+  /** Raises the floor to the service of the least served waiting team; never lowers it. */
   advanceFloor(served: number): void;
   served(team: string): number;
-  /** The team's band; lower goes first. */
+  /** Band of the team's service; a lower band goes first. */
   band(team: string): number;
-  /** How far the team is ahead of the least served one, in tokens over weight. */
+  /** Service of the team above the floor. */
   lead(team: string): number;
 }
 
-/** Tokens over weight by which teams may differ before priority no longer counts. */
+/** Width of a band, in prefill tokens divided by weight. */
 export const FAIR_BAND_TOKENS = 8_192;
-/** Tokens over weight by which a team that was idle may be behind the least served that waits. */
+/** Credit of an idle team below the floor, in prefill tokens divided by weight. */
 export const IDLE_CREDIT_TOKENS = 8_192;
-/** Accounts beyond which those that hold nothing are dropped. */
+/** Number of accounts above which accounts at the idle credit are dropped. */
 const MAX_ACCOUNTS = 10_000;
 
-/** Creates the accounts of a shard on which nobody was served. */
+/** Creates the accounts of a shard without any service. */
 export function createFairShare(): FairShare {
   const accounts = new Map<string, number>();
   let floor = 0;
--- a/src/permits/feedback.ts
+++ b/src/permits/feedback.ts
@@ -1,21 +1,20 @@
 /**
- * What the holder learns when a first token came and when a permit ended: the server's rates and its
- * health.
+ * Updates the learned rates and the health of a server from first tokens and released permits.
  */
 import type { PermitProgress, PermitRelease } from '../links/index.js';
 import type { LineFit } from './line-fit.js';
 import type { HealthSample } from './server-health.js';
 import { resolveOutputWeight, type GrantedPermit, type Server } from './server.js';
 
-/** A first token is slow when it took this many times as long as expected, and longer than `SLOW_MS`. */
+/** A first token is slow if it took this many times as long as expected, and longer than `SLOW_MS`. */
 const SLOW_FACTOR = 4;
 const SLOW_MS = 1_000;
 
 /**
- * Takes in that a permit's first token came. Only now is its prompt in the server's cache: another
- * request with the same text that came to the server earlier would read all of it again.
+ * Records the first token of a permit. The prompt counts as cached only from now on: a request with
+ * the same prefix that reaches the server during the prefill has to compute all of it again.
  *
- * @param server the server that read the prompt
+ * @param server the server that ran the prefill
  * @param permit the permit
  * @param firstTokenMs time from the call to the first token
  * @param now the time on the holder's clock
@@ -26,7 +25,7 @@
   firstTokenMs: number,
   now: number,
 ): void {
-  const { pendingPrefill: pendingPrefill } = permit;
+  const { pendingPrefill } = permit;
   if (pendingPrefill === undefined) return;
   server.prefixes.add(pendingPrefill.prefixes);
   server.rates.observeFirstToken(pendingPrefill.tokensToFirstToken, firstTokenMs, now);
@@ -37,13 +36,13 @@
 }
 
 /**
- * Counts permits whose first token should have come long ago against their server, once each.
+ * Records permits whose first token is overdue as failures of their server, once for each permit.
  *
- * @param server the server to look at
+ * @param server the server to check
  * @param now the time on the holder's clock
  */
 export function recordOverdue(server: Server, now: number): void {
-  for (const { pendingPrefill: pendingPrefill, grantedAt } of server.prefilling.values()) {
+  for (const { pendingPrefill, grantedAt } of server.prefilling.values()) {
     if (pendingPrefill === undefined || pendingPrefill.isCountedAsSlow) continue;
     if (!isSlow(now - grantedAt, pendingPrefill.expectedMs)) continue;
     pendingPrefill.isCountedAsSlow = true;
@@ -52,11 +51,11 @@
 }
 
 /**
- * Takes in how long a handover took beyond the pendingPrefill of the prompt.
+ * Records the time of a KV cache handover, which is the time to first token less the prefill time.
  *
- * @param handoverMs the line to teach
+ * @param handoverMs the fit to update
  * @param permit the permit
- * @param progress the router's word on its first token
+ * @param progress the router's report of the first token
  * @param now the time on the holder's clock
  */
 export function recordHandover(
@@ -71,11 +70,11 @@
 }
 
 /**
- * Takes in the end of a permit that was counted until now.
+ * Records the release of a permit; to be called before the permit is removed from its server.
  *
- * @param server its server
+ * @param server the permit's server
  * @param permit the permit
- * @param release the router's word on its end
+ * @param release the router's report
  * @param now the time on the holder's clock
  */
 export function recordRelease(
@@ -86,22 +85,22 @@
 ): void {
   const { firstTokenMs } = release;
   if (firstTokenMs !== undefined) recordFirstToken(server, permit, firstTokenMs, now);
-  const verdict = resolveVerdict(release.result);
-  if (verdict !== undefined) server.health.record(verdict, now);
+  const sample = resolveHealthSample(release.result);
+  if (sample !== undefined) server.health.record(sample, now);
   if (release.result !== 'answered') return;
   if (server.vm.kind === 'plain-service') {
     server.rates.observeCall(release.totalMs, now);
     return;
   }
-  learnStep(server, permit, release, now);
+  recordDecodeStep(server, permit, release, now);
 }
 
 /**
- * Work that a permit really was, in prompt tokens to read. Places for answers are what a busy engine
- * lacks first, so a token of an answer counts by the time that it costs.
+ * Returns the work of a released permit in prefill tokens. Output tokens are weighted by their
+ * decode time.
  *
- * @param release the router's word on its end
- * @param server its server
+ * @param release the router's report
+ * @param server the permit's server
  */
 export function resolveServedTokens(release: PermitRelease, server: Server): number {
   if (release.result === 'refused') return 0;
@@ -109,7 +108,7 @@
   return promptTokens - cachedTokens + outputTokens * resolveOutputWeight(server);
 }
 
-function learnStep(
+function recordDecodeStep(
   server: Server,
   permit: GrantedPermit,
   release: PermitRelease,
@@ -121,7 +120,7 @@
   server.rates.observeStep(batch, ms, now);
 }
 
-function resolveVerdict(result: PermitRelease['result']): HealthSample | undefined {
+function resolveHealthSample(result: PermitRelease['result']): HealthSample | undefined {
   if (result === 'cancelled') return undefined;
   return result === 'answered' ? 'good' : 'bad';
 }
--- a/src/permits/granting.ts
+++ b/src/permits/granting.ts
@@ -1,5 +1,5 @@
 /**
- * What a holder writes down, and what it tells the router, when it grants a permit.
+ * Creates the permit that is sent to the router and the holder's own record of it.
  */
 import type { Permit } from '../links/index.js';
 import type { ServerChoice } from './choice.js';
@@ -14,57 +14,57 @@
   type Server,
 } from './server.js';
 
-/** Who grants, and under which number. */
+/** Identity and circumstances of a grant. */
 export interface GrantTerms {
   permitId: string;
   shard: string;
   fence: number;
   now: number;
-  /** Whether the team has had more than its share. */
+  /** Whether the team exceeds its fair share. */
   isBeyondShare: boolean;
 }
 
-/** A grant, as it is written down on both servers and told to the router. */
+/** A granted permit with its records. */
 export interface Grant {
   permit: Permit;
-  /** The permit on the server that generates. */
+  /** The record on the server that decodes. */
   granted: GrantedPermit;
-  /** The permit on the server that reads the prompt, when it is another. */
+  /** The record on the server that prefills, if it is a different one. */
   prefill: GrantedPermit | undefined;
 }
 
 /**
- * Makes a grant.
+ * Creates a grant.
  *
- * @param waiting the request whose turn it is
- * @param chosen where it goes
- * @param terms who grants
+ * @param waiting the request
+ * @param choice the servers choice for it
+ * @param terms identity and circumstances of the grant
  */
 export function createGrant(
   waiting: WaitingRequest,
-  chosen: ServerChoice,
+  choice: ServerChoice,
   terms: GrantTerms,
 ): Grant {
-  const { server, prefill } = chosen;
-  const permit = createPermit(waiting, chosen, terms);
+  const { server, prefill } = choice;
+  const permit = createPermit(waiting, choice, terms);
   if (prefill === undefined) {
-    const granted = createGranted(waiting, server, terms);
+    const granted = createGrantedPermit(waiting, server, terms);
     return { permit, granted, prefill: undefined };
   }
-  const reader = createGranted(waiting, prefill, terms);
-  reader.permitId = resolvePrefillId(terms.permitId);
-  reader.outputTokens = 0;
-  const granted = createGranted(waiting, server, terms);
+  const prefillGranted = createGrantedPermit(waiting, prefill, terms);
+  prefillGranted.permitId = resolvePrefillId(terms.permitId);
+  prefillGranted.outputTokens = 0;
+  const granted = createGrantedPermit(waiting, server, terms);
   granted.pendingPrefill = undefined;
-  granted.charged = reader.charged;
+  granted.charged = prefillGranted.charged;
   granted.prefillServer = prefill.vm.id;
-  return { permit, granted, prefill: reader };
+  return { permit, granted, prefill: prefillGranted };
 }
 
 const PREFILL_SUFFIX = '/prefill';
 
 /**
- * The id under which the pendingPrefill of a prompt on another server is counted.
+ * Returns the id of the record on a separate prefill server.
  *
  * @param permitId id of the permit
  */
@@ -73,9 +73,9 @@
 }
 
 /**
- * The id of the permit that an entry of a tally belongs to.
+ * Returns the id of the permit that a record belongs to.
  *
- * @param id a permit's id, or one that `resolvePrefillId` made
+ * @param id id of a permit, or an id from `resolvePrefillId`
  */
 export function resolvePermitId(id: string): string {
   return id.endsWith(PREFILL_SUFFIX) ? id.slice(0, -PREFILL_SUFFIX.length) : id;
@@ -102,9 +102,13 @@
   return { ...permit, prefill: { server: prefill.vm.id, address: prefill.vm.address } };
 }
 
-function createGranted(waiting: WaitingRequest, server: Server, terms: GrantTerms): GrantedPermit {
+function createGrantedPermit(
+  waiting: WaitingRequest,
+  server: Server,
+  terms: GrantTerms,
+): GrantedPermit {
   const { query, isLong } = waiting;
-  const tokens = countUncachedTokens(server, query);
+  const uncachedTokens = countUncachedTokens(server, query);
   return {
     permitId: terms.permitId,
     requestId: query.requestId,
@@ -115,38 +119,38 @@
     weight: query.weight,
     promptTokens: query.promptTokens,
     outputTokens: query.expectedOutputTokens,
-    charged: tokens + query.expectedOutputTokens * resolveOutputWeight(server),
+    charged: uncachedTokens + query.expectedOutputTokens * resolveOutputWeight(server),
     isFirstAttempt: query.attempt === 1,
     isLong,
     betweenTokensMs: query.betweenTokensMs ?? Number.POSITIVE_INFINITY,
     batch: server.permits.size + 1,
     prefillServer: undefined,
     grantedAt: terms.now,
-    pendingPrefill: createReading(waiting, server, tokens, terms.now),
+    pendingPrefill: createPendingPrefill(waiting, server, uncachedTokens, terms.now),
   };
 }
 
-function createReading(
+function createPendingPrefill(
   { query, isLong, firstTokenDeadline }: WaitingRequest,
   server: Server,
-  tokens: number,
+  uncachedTokens: number,
   now: number,
 ): PendingPrefill | undefined {
   if (server.vm.kind === 'plain-service') return undefined;
-  const ahead = countPrefillQueueTokens(server, isLong) + tokens;
-  const expectedMs = server.rates.firstTokenMs(ahead, now);
+  const tokensToFirstToken = countPrefillQueueTokens(server, isLong) + uncachedTokens;
+  const expectedMs = server.rates.firstTokenMs(tokensToFirstToken, now);
   const { prefixes } = query;
   return {
     prefixes,
-    uncachedTokens: tokens,
-    tokensToFirstToken: ahead,
+    uncachedTokens,
+    tokensToFirstToken,
     expectedMs,
-    firstTokenDeadline: firstTokenDeadline,
+    firstTokenDeadline,
     isCountedAsSlow: false,
   };
 }
 
-/** A permit that a router says it uses, granted by an earlier holder. */
+/** A permit in use that was granted by an earlier holder, as its router reports it. */
 export interface AdoptedPermit {
   permitId: string;
   requestId: string;
@@ -159,9 +163,9 @@
 }
 
 /**
- * What a holder writes down for a permit of an earlier holder.
+ * Creates the record of a permit that an earlier holder granted.
  *
- * @param adopted the router's word
+ * @param adopted the router's report
  * @param node the router's node
  * @param server the permit's server
  * @param now the time on the holder's clock
--- a/src/permits/index.ts
+++ b/src/permits/index.ts
@@ -1,4 +1,4 @@
-/** Permits: the exact tally of each shard's servers and the queue before them. */
+/** Permits: the shard holder, its records of servers and the queue of the shard. */
 export * from './admission.js';
 export * from './capacity.js';
 export * from './choice.js';
--- a/src/permits/line-fit.ts
+++ b/src/permits/line-fit.ts
@@ -1,7 +1,6 @@
 /**
- * A straight line through what was measured, with older measurements forgotten. Anchors, the points
- * assumed until something was measured, keep a constant weight: a line that is no longer fed goes
- * back to them.
+ * Weighted linear regression in which the weight of measurements decays with time. Anchor points
+ * keep a constant weight, so without recent measurements the line returns to them.
  */
 
 /** A point of the line. */
@@ -10,33 +9,33 @@
   y: number;
 }
 
-/** A line that is learned. Times are milliseconds on one clock. */
+/** A fitted line. Times are milliseconds on one clock. */
 export interface LineFit {
-  /** Puts other points in place of the assumed ones. */
+  /** Replaces the anchor points. */
   setAnchors(points: readonly Point[]): void;
   observe(point: Point, now: number): void;
-  /** The line's value, never negative. */
+  /** Value of the line at `x`; never negative. */
   valueAt(x: number, now: number): number;
-  /** The value at 0 and the rise per unit, neither negative. */
   line(now: number): Line;
 }
 
-/** A line that never falls. */
+/** A line without a negative value or slope. */
 export interface Line {
+  /** Value at 0. */
   base: number;
   slope: number;
 }
 
-/** Weight that the earlier measurements keep when a new one comes. */
-const KEPT_PER_SAMPLE = 0.95;
-/** Time after which measurements count half. */
+/** Factor on the weight of earlier measurements for each new one. */
+const DECAY_PER_SAMPLE = 0.95;
+/** Time after which the weight of measurements has halved. */
 const HALF_LIFE_MS = 10_000;
-/** Weight of an anchor, where a fresh measurement has 1. */
+/** Weight of an anchor; a new measurement has weight 1. */
 const ANCHOR_WEIGHT = 0.5;
-/** A measurement counts as this many times the line's value at most, so that one freak is harmless. */
+/** Measurements are capped at this multiple of the line's value, to limit outliers. */
 const MAX_RATIO = 4;
-/** Below this, in units of y, the ratio is not looked at. */
-const SMALL_VALUE = 10;
+/** Smallest cap, in units of y. */
+const MIN_CAP = 10;
 
 interface Sums {
   weight: number;
@@ -47,23 +46,23 @@
 }
 
 /**
- * Creates a line.
+ * Creates a fit.
  *
- * @param anchors points that are assumed until something was measured
+ * @param anchors points that determine the line without measurements
  */
 export function createLineFit(anchors: readonly Point[]): LineFit {
-  let assumed = sumOf(anchors);
+  let anchored = sumOf(anchors);
   const measured = sumOf([]);
-  let agedAt = 0;
+  let decayedAt = 0;
 
-  function age(now: number): void {
-    scale(measured, 0.5 ** (Math.max(0, now - agedAt) / HALF_LIFE_MS));
-    agedAt = now;
+  function decay(now: number): void {
+    scale(measured, 0.5 ** (Math.max(0, now - decayedAt) / HALF_LIFE_MS));
+    decayedAt = now;
   }
 
   function line(now: number): Line {
-    age(now);
-    return resolveLine(measured, assumed);
+    decay(now);
+    return resolveLine(measured, anchored);
   }
 
   function valueAt(x: number, now: number): number {
@@ -73,12 +72,12 @@
 
   return {
     setAnchors(points) {
-      assumed = sumOf(points);
+      anchored = sumOf(points);
     },
     observe({ x, y }, now) {
-      const most = Math.max(SMALL_VALUE, valueAt(x, now) * MAX_RATIO);
-      scale(measured, KEPT_PER_SAMPLE);
-      addPoint(measured, { x, y: Math.min(y, most) }, 1);
+      const cap = Math.max(MIN_CAP, valueAt(x, now) * MAX_RATIO);
+      scale(measured, DECAY_PER_SAMPLE);
+      addPoint(measured, { x, y: Math.min(y, cap) }, 1);
     },
     valueAt,
     line,
@@ -94,7 +93,7 @@
   const covariance = (one.xy + other.xy) / weight - x * y;
   const slope = variance > 0 ? Math.max(0, covariance / variance) : 0;
   const base = y - slope * x;
-  // A line through the origin where the best one would begin below it.
+  // The best fit would be negative at 0: use a line through the origin instead.
   if (base < 0) return { base: 0, slope: x > 0 ? y / x : 0 };
   return { base, slope };
 }
--- a/src/permits/ordered-heap.ts
+++ b/src/permits/ordered-heap.ts
@@ -1,14 +1,13 @@
 /**
- * A binary heap that finds its items again, so that any of them can be taken out or moved after its
- * key changed. Every change costs the logarithm of the size.
+ * An indexed binary heap: any item can be removed, or moved after its key changed, in O(log n).
  */
 
-/** A heap over items that are compared by identity. */
+/** A heap of items that are identified by reference. */
 export interface OrderedHeap<Item> {
   push(item: Item): void;
-  /** The first item, left in place. */
+  /** The first item, without removing it. */
   peek(): Item | undefined;
-  /** @returns whether the item was there */
+  /** @returns whether the item was in the heap */
   remove(item: Item): boolean;
   /** Restores the order after the item's key changed. */
   update(item: Item): void;
@@ -34,31 +33,31 @@
     positions.set(item, position);
   }
 
-  function rise(item: Item, from: number): void {
+  function siftUp(item: Item, from: number): void {
     let position = from;
     while (position > 0) {
-      const above = (position - 1) >> 1;
-      const parent = heap[above];
+      const parentPosition = (position - 1) >> 1;
+      const parent = heap[parentPosition];
       if (parent === undefined || !isBefore(item, parent)) break;
       put(parent, position);
-      position = above;
+      position = parentPosition;
     }
     put(item, position);
   }
 
-  function sink(item: Item, from: number): void {
+  function siftDown(item: Item, from: number): void {
     let position = from;
     for (;;) {
-      const below = firstBelow(position);
-      const child = heap[below];
+      const childPosition = firstChild(position);
+      const child = heap[childPosition];
       if (child === undefined || !isBefore(child, item)) break;
       put(child, position);
-      position = below;
+      position = childPosition;
     }
     put(item, position);
   }
 
-  function firstBelow(position: number): number {
+  function firstChild(position: number): number {
     const left = position * 2 + 1;
     const one = heap[left];
     const other = heap[left + 1];
@@ -66,14 +65,14 @@
     return isBefore(other, one) ? left + 1 : left;
   }
 
-  function settle(item: Item, position: number): void {
-    rise(item, position);
-    sink(item, positions.get(item) ?? position);
+  function restoreOrder(item: Item, position: number): void {
+    siftUp(item, position);
+    siftDown(item, positions.get(item) ?? position);
   }
 
   return {
     push(item) {
-      rise(item, heap.length);
+      siftUp(item, heap.length);
     },
     peek: () => heap[0],
     remove(item) {
@@ -81,12 +80,12 @@
       if (position === undefined) return false;
       positions.delete(item);
       const last = heap.pop();
-      if (last !== undefined && last !== item) settle(last, position);
+      if (last !== undefined && last !== item) restoreOrder(last, position);
       return true;
     },
     update(item) {
       const position = positions.get(item);
-      if (position !== undefined) settle(item, position);
+      if (position !== undefined) restoreOrder(item, position);
     },
     has: (item) => positions.has(item),
     size: () => heap.length,
--- a/src/permits/output-estimate.ts
+++ b/src/permits/output-estimate.ts
@@ -1,15 +1,14 @@
 /**
- * How many output tokens a request will probably have: learned for each team and class from what
- * its finished requests had; for a team not seen before, from its class; and until then what the
- * class's configuration says.
+ * Estimates the output tokens of a request as a moving average over finished requests of its team
+ * and class, or of its class if the team is unknown.
  */
 
-/** Weight of the newest observation. */
+/** Weight of the newest observation in the moving average. */
 const NEWEST_WEIGHT = 0.1;
-/** Most teams and classes remembered; those seen longest ago go first. */
-const MAX_REMEMBERED = 20_000;
+/** Maximum number of averages; the least recently updated one is evicted. */
+const MAX_AVERAGES = 20_000;
 
-/** Whose requests are alike. */
+/** Requests that share an average. */
 export interface EstimateKey {
   team: string;
   class: string;
@@ -18,11 +17,11 @@
 /** Learned output lengths. */
 export interface OutputEstimate {
   observe(key: EstimateKey, tokens: number): void;
-  /** @param assumed what to say before anything was observed */
-  estimate(key: EstimateKey, assumed: number): number;
+  /** @param fallback the estimate while nothing was observed */
+  estimate(key: EstimateKey, fallback: number): number;
 }
 
-/** Creates an estimate that has seen nothing. */
+/** Creates an estimate without observations. */
 export function createOutputEstimate(): OutputEstimate {
   const byTeam = new Map<string, number>();
   const byClass = new Map<string, number>();
@@ -36,16 +35,16 @@
       learn(byTeam, nameOf(key), tokens);
       learn(byClass, key.class, tokens);
     },
-    estimate: (key, assumed) =>
-      Math.ceil(byTeam.get(nameOf(key)) ?? byClass.get(key.class) ?? assumed),
+    estimate: (key, fallback) =>
+      Math.ceil(byTeam.get(nameOf(key)) ?? byClass.get(key.class) ?? fallback),
   };
 }
 
 function learn(learned: Map<string, number>, name: string, tokens: number): void {
-  const known = learned.get(name) ?? tokens;
+  const average = learned.get(name) ?? tokens;
   learned.delete(name);
-  learned.set(name, known + (tokens - known) * NEWEST_WEIGHT);
-  if (learned.size <= MAX_REMEMBERED) return;
+  learned.set(name, average + (tokens - average) * NEWEST_WEIGHT);
+  if (learned.size <= MAX_AVERAGES) return;
   for (const oldest of learned.keys()) {
     learned.delete(oldest);
     return;
--- a/src/permits/prefix-index.ts
+++ b/src/permits/prefix-index.ts
@@ -1,16 +1,16 @@
 /**
- * Which prompt prefixes a server is likely to have cached: those of the prompts that it read, most
- * recently used last, less what its cache events say was removed. Events come late and with gaps, so they only ever take away; what a lost event should have taken away is forgotten when
- * so many newer prefixes were read.
+ * An LRU set of the prompt prefixes that a server probably has cached: those of prompts that it
+ * prefilled, less those that its cache events report as removed. Events arrive late and with gaps,
+ * so they only remove entries; entries whose event was lost are evicted in LRU order.
  */
 
 const MAX_PREFIXES = 8_192;
 
 /** The prefixes of one server. */
 export interface PrefixIndex {
-  /** Notes that a prompt with these prefixes, the shortest first, was read. */
+  /** Adds the prefixes of a prompt, the shortest first. */
   add(prefixes: readonly string[]): void;
-  /** How many of the prefixes, counted from the shortest, are likely cached. */
+  /** Number of consecutive prefixes, from the shortest on, that are in the index. */
   countCached(prefixes: readonly string[]): number;
   remove(prefixes: readonly string[]): void;
   clear(): void;
@@ -34,7 +34,7 @@
 
   return {
     add(prefixes) {
-      // The longest goes first, so that it is also the first to be forgotten.
+      // The longest prefix is added first, so that it is evicted first.
       for (let index = prefixes.length - 1; index >= 0; index--) {
         const prefix = prefixes[index];
         if (prefix !== undefined) touch(prefix);
--- a/src/permits/recent-use.ts
+++ b/src/permits/recent-use.ts
@@ -1,14 +1,14 @@
 /**
- * Which teams use more than their share at the moment: service of the last seconds over weight,
- * against that of all teams that were served in that time. Unlike the account of fair queueing it
- * also tells while nobody waits.
+ * Detects teams that currently exceed their fair share, by exponentially decayed service relative
+ * to the weights of all recently served teams. Unlike `FairShare`, it also works while the queue is
+ * empty.
  */
 import { FAIR_BAND_TOKENS, type TeamCharge } from './fair-share.js';
 
 /** Recent service of all teams. Times are milliseconds on one clock. */
 export interface RecentUse {
   add(charge: TeamCharge, now: number): void;
-  /** Whether the team had clearly more than its share lately, while others were served too. */
+  /** Whether the team recently exceeded its share while other teams were served too. */
   isBeyondShare(team: string, now: number): boolean;
 }
 
@@ -17,33 +17,33 @@
   tokens: number;
 }
 
-/** Service counts for 1/e after this time. */
-const MEMORY_MS = 20_000;
-/** A team is beyond its share above this many times it and a burst. */
+/** Time constant of the decay: service has a weight of 1/e after this time. */
+const DECAY_MS = 20_000;
+/** A team exceeds its share above this multiple of the share plus `BURST_TOKENS`. */
 const TOLERANCE = 1.1;
-/** Work by which a team may exceed its share at times, in prompt tokens to read. */
+/** Burst allowed on top of the share, in prefill tokens. */
 const BURST_TOKENS = 2 * FAIR_BAND_TOKENS;
-/** Service of the past is scaled down, and teams without any forgotten, this often. */
-const AGE_EVERY_MS = 250;
-/** A team with fewer tokens left counts as not served. */
-const LEAST_TOKENS = 1;
+/** Interval at which the decay is applied. */
+const DECAY_EVERY_MS = 250;
+/** A team with less decayed service is dropped. */
+const MIN_TOKENS = 1;
 
-/** Creates the record of a shard on which nobody was served. */
+/** Creates the record of a shard without any service. */
 export function createRecentUse(): RecentUse {
   const uses = new Map<string, Use>();
-  let agedAt = 0;
+  let decayedAt = 0;
   let totalTokens = 0;
   let totalWeight = 0;
 
-  function age(now: number): void {
-    if (now - agedAt < AGE_EVERY_MS) return;
-    const kept = Math.exp((agedAt - now) / MEMORY_MS);
-    agedAt = now;
+  function decay(now: number): void {
+    if (now - decayedAt < DECAY_EVERY_MS) return;
+    const kept = Math.exp((decayedAt - now) / DECAY_MS);
+    decayedAt = now;
     totalTokens = 0;
     totalWeight = 0;
     for (const [team, use] of uses) {
       use.tokens *= kept;
-      if (use.tokens < LEAST_TOKENS) {
+      if (use.tokens < MIN_TOKENS) {
         uses.delete(team);
         continue;
       }
@@ -54,7 +54,7 @@
 
   return {
     add({ team, weight, tokens }, now) {
-      age(now);
+      decay(now);
       const known = uses.get(team);
       const use = known ?? { weight, tokens: 0 };
       if (known === undefined) {
@@ -66,7 +66,7 @@
       totalTokens += use.tokens - before;
     },
     isBeyondShare(team, now) {
-      age(now);
+      decay(now);
       const use = uses.get(team);
       if (use === undefined || use.weight >= totalWeight) return false;
       const share = (totalTokens * use.weight) / totalWeight;
--- a/src/permits/refusals.ts
+++ b/src/permits/refusals.ts
@@ -1,11 +1,10 @@
 /**
- * Why a holder does not grant a permit, as the asking router hears it. Nothing was started in any
- * of these cases.
+ * Refusals of permits. No work was started in any of these cases.
  */
 import { createRefusal, type FailureCode, type Step } from '../errors/index.js';
 import type { PermitAnswer } from '../links/index.js';
 
-/** Reasons of a holder. */
+/** Reasons for a refusal. */
 export type RefusalReason =
   | 'lost'
   | 'no-claims'
@@ -26,12 +25,12 @@
   lost: {
     code: 'lease-lost',
     step: 'permit.ask',
-    message: 'the shard is held elsewhere now',
+    message: 'this node no longer holds the shard',
   },
   'no-claims': {
     code: 'claims-unavailable',
     step: 'permit.ask',
-    message: 'the lease on the shard cannot be renewed; requests that may not be repeated wait',
+    message: 'the lease of the node cannot be renewed; non-repeatable requests are refused',
   },
   'no-server': {
     code: 'no-backend-server',
@@ -41,36 +40,36 @@
   'queue-full': {
     code: 'queue-full',
     step: 'permit.ask',
-    message: 'too many requests wait',
+    message: 'the queue of the shard is full',
   },
   'too-late': {
     code: 'cannot-be-on-time',
     step: 'permit.ask',
-    message: 'the requests ahead take longer than this one may wait',
+    message: 'with the estimated queueing delay, the request would miss its latency objective',
   },
   'never-in-time': {
     code: 'cannot-be-on-time',
     step: 'permit.ask',
-    message: 'the request takes longer than it may, even with nothing ahead of it',
+    message: 'the request would miss its latency objective even without a queueing delay',
   },
   'not-in-time': {
     code: 'cannot-be-on-time',
     step: 'permit.wait',
-    message: 'no place became free in time',
+    message: 'no backend server had room before the deadline',
   },
   withdrawn: {
     code: 'cancelled',
     step: 'permit.wait',
-    message: 'the request was withdrawn',
+    message: 'the request was cancelled',
   },
 };
 
 /**
- * Builds a refusal.
+ * Creates a refusal.
  *
  * @param node the holder's node
- * @param reason why
- * @param retryAfterMs when asking again makes sense, in milliseconds, where it does
+ * @param reason the reason
+ * @param retryAfterMs Retry-After in milliseconds, if a retry can succeed
  */
 export function createPermitRefusal(
   node: string,
--- a/src/permits/room.ts
+++ b/src/permits/room.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a server has room for a request now: a free place, KV memory, a batch in which tokens
- * still come in time, and a bounded amount of prompts to read, of which a share is kept for short
- * ones.
+ * Whether a server has room for a request: a free slot, KV cache, a batch within the inter-token
+ * latency objectives and a bounded prefill queue. Some slots are reserved for short prompts and for
+ * teams within their fair share.
  */
 import type { PermitQuery } from '../links/index.js';
 import {
@@ -12,38 +12,38 @@
   type Server,
 } from './server.js';
 
-/** Which bounds hold. */
+/** The bounds in effect. */
 export interface RoomTerms {
-  /** Keep places for teams within their share. */
+  /** Reserve slots for teams within their fair share. */
   fairness: boolean;
-  /** Bound the prompts being read and keep a share for short ones. */
+  /** Bound the prefill queue and reserve slots for short prompts. */
   shortReserve: boolean;
-  /** Give less to servers that fail. */
+  /** Reduce the limits of servers with failures. */
   ejection: boolean;
-  /** Servers that are used although they are ejected. */
+  /** Ejected servers that are used nevertheless. */
   ejectionExempt: ReadonlySet<Server>;
 }
 
-/** Prompts on a server are bounded to what it reads in this time. */
+/** The prefill queue of a server is bounded to the tokens that it prefills in this time. */
 export const PREFILL_WINDOW_MS = 250;
-/** Share of places that long prompts leave to short ones. */
-const SHORT_SHARE = 0.25;
-/** Share of places that teams beyond their share leave to the others. */
-const KEPT_SHARE = 0.25;
-/** A step may take this share of the longest time between tokens, for its length varies. */
+/** Share of the slots that is reserved for short prompts. */
+const SHORT_PROMPT_SHARE = 0.25;
+/** Share of the slots that is reserved for teams within their fair share. */
+const FAIR_TEAM_SHARE = 0.25;
+/** Decode steps may take this share of the inter-token latency objective, as their time varies. */
 const STEP_HEADROOM = 0.85;
-/** Places that are always used, however slow tokens come. */
-const LEAST_BATCH_SHARE = 0.25;
-/** A long prompt that has waited this share of its time is no longer overtaken by short ones. */
+/** Share of the slots that is used regardless of the inter-token latency. */
+const MIN_BATCH_SHARE = 0.25;
+/** A prefilling long prompt is not overtaken by short ones after this share of its allowed time. */
 const URGENT_SHARE = 0.5;
 
 /**
- * Whether a server has room.
+ * Whether a server has room for a request.
  *
- * @param server its tally
+ * @param server the server
  * @param request the request
  * @param now the time on the holder's clock
- * @param terms which bounds hold
+ * @param terms the bounds in effect
  */
 export function hasRoom(
   server: Server,
@@ -52,19 +52,19 @@
   terms: RoomTerms,
 ): boolean {
   const limit = resolveLimit(server, now, terms);
-  if (server.permits.size >= limit - keptPlaces(limit, request, terms)) return false;
+  if (server.permits.size >= limit - resolveReservedSlots(limit, request, terms)) return false;
   if (!hasKvRoom(server, request.query)) return false;
   if (server.permits.size === 0) return true;
-  if (!keepsPace(server, request.query, limit, now)) return false;
-  return !terms.shortReserve || hasReadingRoom(server, request, limit, now);
+  if (!meetsInterTokenLatency(server, request.query, limit, now)) return false;
+  return !terms.shortReserve || hasPrefillRoom(server, request, limit, now);
 }
 
 /**
- * Most requests that a server should have.
+ * Maximum number of concurrent requests on a server, given its health.
  *
- * @param server its tally
+ * @param server the server
  * @param now the time on the holder's clock
- * @param terms which bounds hold
+ * @param terms the bounds in effect
  */
 export function resolveLimit(server: Server, now: number, terms: RoomTerms): number {
   if (!terms.ejection) return server.slots;
@@ -72,54 +72,59 @@
   return server.health.limit(server.slots, now);
 }
 
-/** Places that a team beyond its share leaves free, so that others need not wait for its answers. */
-function keptPlaces(limit: number, request: ClassifiedRequest, terms: RoomTerms): number {
+/** Slots that a team beyond its fair share leaves free for other teams. */
+function resolveReservedSlots(limit: number, request: ClassifiedRequest, terms: RoomTerms): number {
   if (!terms.fairness || !request.isBeyondShare) return 0;
-  return Math.floor(limit * KEPT_SHARE);
+  return Math.floor(limit * FAIR_TEAM_SHARE);
 }
 
-/** A request larger than the whole cache still runs when it is alone. */
+/** A request larger than the whole KV cache may still run alone. */
 function hasKvRoom(server: Server, { promptTokens, expectedOutputTokens }: PermitQuery): boolean {
   if (server.permits.size === 0) return true;
   return server.reservedTokens + promptTokens + expectedOutputTokens <= server.kvTokens;
 }
 
-function keepsPace(server: Server, query: PermitQuery, limit: number, now: number): boolean {
+function meetsInterTokenLatency(
+  server: Server,
+  query: PermitQuery,
+  limit: number,
+  now: number,
+): boolean {
   const batch = server.permits.size + 1;
-  if (batch <= limit * LEAST_BATCH_SHARE) return true;
-  let longestMs = query.betweenTokensMs ?? Number.POSITIVE_INFINITY;
+  if (batch <= limit * MIN_BATCH_SHARE) return true;
+  let objectiveMs = query.betweenTokensMs ?? Number.POSITIVE_INFINITY;
   for (const { betweenTokensMs } of server.permits.values()) {
-    longestMs = Math.min(longestMs, betweenTokensMs);
+    objectiveMs = Math.min(objectiveMs, betweenTokensMs);
   }
-  return server.rates.stepMs(batch, now) <= longestMs * STEP_HEADROOM;
+  return server.rates.stepMs(batch, now) <= objectiveMs * STEP_HEADROOM;
 }
 
-function hasReadingRoom(
+function hasPrefillRoom(
   server: Server,
   request: ClassifiedRequest,
   limit: number,
   now: number,
 ): boolean {
   const { query, isLong } = request;
-  const longPlaces = Math.max(1, Math.floor(limit * (1 - SHORT_SHARE)));
-  if (isLong && countLongPrompts(server) >= longPlaces) return false;
-  if (isLong && !hasLongReader(server)) return true;
+  const longSlots = Math.max(1, Math.floor(limit * (1 - SHORT_PROMPT_SHARE)));
+  if (isLong && countLongPrompts(server) >= longSlots) return false;
+  if (isLong && !isPrefillingLong(server)) return true;
   if (server.prefilling.size === 0) return true;
-  if (!isLong && hasUrgentReader(server, now)) return false;
+  if (!isLong && isPrefillingUrgentLong(server, now)) return false;
   const tokens = countPrefillQueueTokens(server, isLong) + countUncachedTokens(server, query);
   return tokens <= server.rates.tokensPrefilledIn(PREFILL_WINDOW_MS, now);
 }
 
-/** One long prompt may always be read, for short ones pass it by on the engine. */
-function hasLongReader(server: Server): boolean {
+/** One long prompt may always be prefilled, since the engine lets short ones overtake it. */
+function isPrefillingLong(server: Server): boolean {
   for (const { isLong } of server.prefilling.values()) {
     if (isLong) return true;
   }
   return false;
 }
 
-function hasUrgentReader(server: Server, now: number): boolean {
-  for (const { isLong, pendingPrefill: pendingPrefill, grantedAt } of server.prefilling.values()) {
+function isPrefillingUrgentLong(server: Server, now: number): boolean {
+  for (const { isLong, pendingPrefill, grantedAt } of server.prefilling.values()) {
     if (!isLong || pendingPrefill === undefined) continue;
     const allowedMs = pendingPrefill.firstTokenDeadline - grantedAt;
     if (now - grantedAt > Math.max(pendingPrefill.expectedMs, allowedMs * URGENT_SHARE))
@@ -128,14 +133,14 @@
   return false;
 }
 
-/** Share of the servers for a request that may be ejected at once. */
+/** Maximum share of the candidates that may be ejected at once. */
 const MAX_EJECTED_SHARE = 0.5;
 
 /**
- * The servers that are used although they are ejected, because too many of them are: those whose
- * probe is due first. So the failure of a whole group leaves the group in use.
+ * Returns the ejected servers beyond the maximum share, which are used nevertheless: those whose
+ * ejection ends first. This keeps a group in use if all of its servers fail.
  *
- * @param candidates the servers for a request
+ * @param candidates the servers that can serve a request
  */
 export function resolveEjectionExempt(candidates: readonly Server[]): ReadonlySet<Server> {
   const ejected: Server[] = [];
--- a/src/permits/server-health.ts
+++ b/src/permits/server-health.ts
@@ -1,84 +1,86 @@
 /**
- * Whether a server does what it is given: one that fails, cuts streams or is far slower than
- * foretold gets less, then nothing, and after a pause that doubles each time one request as a probe.
- * A success ends the pause; what is left of the doubt is given back request by request.
+ * Outlier detection for one server. Failures, cut streams and slow first tokens raise its failure
+ * score, which lowers its limit; consecutive ones eject it. After an ejection time that doubles with
+ * each ejection, it gets a single request as a probe. A success ends the ejection, and further ones
+ * lower the score.
  */
 
-/** How a permit's use speaks for or against its server. */
+/** Result of a permit's use, as it counts for the health of its server. */
 export type HealthSample = 'good' | 'bad';
 
 /** The health of one server. Times are milliseconds on the holder's clock. */
 export interface ServerHealth {
-  record(verdict: HealthSample, now: number): void;
-  /** Most requests that the server should have now, of those it has room for. */
+  record(sample: HealthSample, now: number): void;
+  /** Maximum number of concurrent requests, out of the server's slots. */
   limit(slots: number, now: number): number;
-  /** The same for a server that is used although it is ejected, because all others are too. */
+  /** The limit of a server that is used although it is ejected. */
   exemptLimit(slots: number): number;
-  /** When an ejected server gets its probe; for the choice of the least bad one. */
+  /** When an ejected server gets its probe. */
   ejectedUntil(): number;
-  /** Whether it gets nothing, or only a probe. */
+  /** Whether the server gets no requests, or only a probe. */
   isEjected(): boolean;
-  /** From 0, nothing against it, to 1. */
+  /** Moving average of failures, from 0 to 1. */
   failureScore(): number;
-  /** Another process answers there now; it begins with a probe. */
+  /** The server's process was restarted: an ejected server is probed at once. */
   restart(): void;
 }
 
+/** Consecutive failures after which a server is ejected. */
 const FAILURES_TO_EJECT = 3;
-/** How far one verdict moves the doubt. */
-const VERDICT_WEIGHT = 0.25;
-/** Doubt below this takes nothing away, so that one cut stream costs no capacity. */
-const FREE_DOUBT = 0.3;
-const FIRST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 30_000;
+/** Weight of the newest sample in the failure score. */
+const SAMPLE_WEIGHT = 0.25;
+/** Scores up to this do not lower the limit, so that one cut stream costs no capacity. */
+const TOLERATED_SCORE = 0.3;
+const FIRST_EJECTION_MS = 500;
+const MAX_EJECTION_MS = 30_000;
 
-/** Creates the health of a server with nothing against it. */
+/** Creates the health of a server without failures. */
 export function createServerHealth(): ServerHealth {
-  let doubt = 0;
+  let score = 0;
   let failures = 0;
   let ejected = false;
-  let pausedUntil = 0;
-  let pauseMs = FIRST_PAUSE_MS;
+  let ejectedUntil = 0;
+  let ejectionMs = FIRST_EJECTION_MS;
 
   function eject(now: number): void {
-    // Streams that broke together are one failure, not many.
-    if (ejected && now < pausedUntil) return;
+    // Streams that break together count as one failure.
+    if (ejected && now < ejectedUntil) return;
     ejected = true;
-    pausedUntil = now + pauseMs;
-    pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+    ejectedUntil = now + ejectionMs;
+    ejectionMs = Math.min(MAX_EJECTION_MS, ejectionMs * 2);
   }
 
-  function resolveReduced(slots: number): number {
-    return Math.max(1, Math.floor(slots * (1 - doubt)));
+  function resolveReducedLimit(slots: number): number {
+    return Math.max(1, Math.floor(slots * (1 - score)));
   }
 
   return {
-    record(verdict, now) {
-      if (verdict === 'good') {
-        doubt -= doubt * VERDICT_WEIGHT;
+    record(sample, now) {
+      if (sample === 'good') {
+        score -= score * SAMPLE_WEIGHT;
         failures = 0;
         if (!ejected) return;
         ejected = false;
-        pauseMs = Math.max(FIRST_PAUSE_MS, pauseMs / 2);
+        ejectionMs = Math.max(FIRST_EJECTION_MS, ejectionMs / 2);
         return;
       }
-      doubt += (1 - doubt) * VERDICT_WEIGHT;
+      score += (1 - score) * SAMPLE_WEIGHT;
       failures += 1;
       if (ejected || failures >= FAILURES_TO_EJECT) eject(now);
     },
     limit(slots, now) {
-      if (ejected) return now < pausedUntil ? 0 : 1;
-      if (doubt <= FREE_DOUBT) return slots;
-      return resolveReduced(slots);
+      if (ejected) return now < ejectedUntil ? 0 : 1;
+      if (score <= TOLERATED_SCORE) return slots;
+      return resolveReducedLimit(slots);
     },
-    exemptLimit: resolveReduced,
-    ejectedUntil: () => pausedUntil,
+    exemptLimit: resolveReducedLimit,
+    ejectedUntil: () => ejectedUntil,
     isEjected: () => ejected,
-    failureScore: () => doubt,
+    failureScore: () => score,
     restart() {
       if (!ejected) return;
-      pausedUntil = 0;
-      pauseMs = FIRST_PAUSE_MS;
+      ejectedUntil = 0;
+      ejectionMs = FIRST_EJECTION_MS;
     },
   };
 }
--- a/src/permits/server-rates.ts
+++ b/src/permits/server-rates.ts
@@ -1,15 +1,14 @@
 /**
- * How fast one backend server works, learned from the ends of permits: the time to the first token
- * over the prompt tokens to be read until then, the time between tokens over the size of the batch,
- * and the time of a plain service's call. Until something was measured, and again when nothing has
- * been for long, the engine's own word on its rates holds.
+ * Learned rates of one backend server: time to first token by prompt tokens to prefill, inter-token
+ * latency by batch size, and the duration of a plain service's calls. Without recent measurements,
+ * the rates that the engine reports apply.
  */
 import { createLineFit } from './line-fit.js';
 
-/** What an engine says of its own speed. */
+/** Rates that an engine reports. */
 export interface NominalRates {
   prefillTokensPerSecond: number;
-  /** Tokens a second of one request in a full batch. */
+  /** Tokens per second of each request in a full batch. */
   decodeTokensPerSecond: number;
   maxBatch: number;
 }
@@ -17,51 +16,51 @@
 /** Learned rates of one server. Times are milliseconds. */
 export interface ServerRates {
   setNominal(nominal: NominalRates): void;
-  /** A first token came after `ms`, with so many prompt tokens to be read until it. */
+  /** Records a time to first token, with the prompt tokens that had to be prefilled until then. */
   observeFirstToken(tokens: number, ms: number, now: number): void;
-  /** Tokens of one answer came `ms` apart, with so many requests in the batch. */
+  /** Records an inter-token latency, with the number of requests in the batch. */
   observeStep(batch: number, ms: number, now: number): void;
-  /** A plain service's call took `ms`. */
+  /** Records the duration of a plain service's call. */
   observeCall(ms: number, now: number): void;
-  /** Time to a first token that has so many prompt tokens to be read before it. */
+  /** Time to first token if this many prompt tokens have to be prefilled. */
   firstTokenMs(tokens: number, now: number): number;
-  /** Prompt tokens that are read in `ms`. */
+  /** Prompt tokens that the server prefills in a time. */
   tokensPrefilledIn(ms: number, now: number): number;
-  /** Time between two tokens of one answer in a batch of some size. */
+  /** Inter-token latency in a batch of this many requests. */
   stepMs(batch: number, now: number): number;
-  /** Time of a plain service's call. */
+  /** Duration of a plain service's call. */
   callMs(now: number): number;
 }
 
-/** Prompt length at which the nominal prefill rate is put on the line. */
+/** Prompt length of the anchor for the reported prefill rate. */
 const ANCHOR_TOKENS = 2_048;
-/** Share of the full batch's step that one request alone is assumed to take. */
-const ALONE_SHARE = 0.5;
-/** Time of a plain service's call before one was seen. */
-const ASSUMED_CALL_MS = 20;
+/** Step time of a single request, as a share of the step time of a full batch. */
+const SINGLE_REQUEST_SHARE = 0.5;
+/** Duration of a plain service's call before the first measurement. */
+const DEFAULT_CALL_MS = 20;
 const MS_PER_SECOND = 1_000;
 
-/** Creates the rates of a server that has said nothing yet. */
+/** Creates the rates of a server that has not reported any. */
 export function createServerRates(): ServerRates {
-  const reading = createLineFit([{ x: 0, y: 0 }]);
+  const prefills = createLineFit([{ x: 0, y: 0 }]);
   const steps = createLineFit([{ x: 0, y: 0 }]);
-  const calls = createLineFit([{ x: 0, y: ASSUMED_CALL_MS }]);
+  const calls = createLineFit([{ x: 0, y: DEFAULT_CALL_MS }]);
 
   return {
     setNominal({ prefillTokensPerSecond, decodeTokensPerSecond, maxBatch }) {
-      const readMs = (ANCHOR_TOKENS * MS_PER_SECOND) / prefillTokensPerSecond;
+      const prefillMs = (ANCHOR_TOKENS * MS_PER_SECOND) / prefillTokensPerSecond;
       const fullMs = MS_PER_SECOND / decodeTokensPerSecond;
-      reading.setAnchors([
+      prefills.setAnchors([
         { x: 0, y: 0 },
-        { x: ANCHOR_TOKENS, y: readMs },
+        { x: ANCHOR_TOKENS, y: prefillMs },
       ]);
       steps.setAnchors([
-        { x: 1, y: fullMs * ALONE_SHARE },
+        { x: 1, y: fullMs * SINGLE_REQUEST_SHARE },
         { x: maxBatch, y: fullMs },
       ]);
     },
     observeFirstToken(tokens, ms, now) {
-      reading.observe({ x: tokens, y: ms }, now);
+      prefills.observe({ x: tokens, y: ms }, now);
     },
     observeStep(batch, ms, now) {
       steps.observe({ x: batch, y: ms }, now);
@@ -69,9 +68,9 @@
     observeCall(ms, now) {
       calls.observe({ x: 0, y: ms }, now);
     },
-    firstTokenMs: (tokens, now) => reading.valueAt(tokens, now),
+    firstTokenMs: (tokens, now) => prefills.valueAt(tokens, now),
     tokensPrefilledIn(ms, now) {
-      const { slope } = reading.line(now);
+      const { slope } = prefills.line(now);
       return slope > 0 ? ms / slope : Number.POSITIVE_INFINITY;
     },
     stepMs: (batch, now) => steps.valueAt(batch, now),
--- a/src/permits/server.ts
+++ b/src/permits/server.ts
@@ -1,6 +1,6 @@
 /**
- * The exact tally of one backend server: the permits out, the tokens they may occupy, and what is
- * known of the server itself. Only the shard's holder has one.
+ * The shard holder's record of one backend server: its state, the permits granted on it and the KV
+ * cache reserved for them.
  */
 import type { PermitQuery } from '../links/index.js';
 import {
@@ -14,23 +14,23 @@
 import { createServerHealth, type ServerHealth } from './server-health.js';
 import { createServerRates, type ServerRates } from './server-rates.js';
 
-/** A permit's way to its first token. */
+/** The prefill of a permit before its first token. */
 export interface PendingPrefill {
-  /** The prompt's prefixes, which the server has cached from the first token on. */
+  /** Prefixes of the prompt, which the server has cached once the first token arrives. */
   prefixes: readonly string[];
   /** Prompt tokens that were not expected in the cache. */
   uncachedTokens: number;
-  /** Prompt tokens to be read on the server until this one's first token. */
+  /** Prompt tokens that the server prefills until the first token, with those queued ahead. */
   tokensToFirstToken: number;
-  /** How long the first token was expected to take, in milliseconds. */
+  /** Estimated time to first token, in milliseconds. */
   expectedMs: number;
-  /** When the first token is late, on the holder's clock. */
+  /** Time by which the first token is due, on the holder's clock. */
   firstTokenDeadline: number;
-  /** Whether it was counted against the server as slow. */
+  /** Whether it was recorded as a failure of the server. */
   isCountedAsSlow: boolean;
 }
 
-/** A permit as the holder remembers it. */
+/** The holder's record of a permit. */
 export interface GrantedPermit {
   permitId: string;
   requestId: string;
@@ -39,32 +39,32 @@
   server: string;
   team: string;
   class: string;
-  /** The team's weight, where it is known. */
+  /** The team's weight; 1 if unknown. */
   weight: number;
   promptTokens: number;
   outputTokens: number;
-  /** Whether its prompt counted as long. */
+  /** Whether the prompt was classified as long. */
   isLong: boolean;
-  /** Longest time between two tokens, in milliseconds. */
+  /** Inter-token latency objective, in milliseconds. */
   betweenTokensMs: number;
-  /** Charged to the team when it was granted, in prompt tokens to read. */
+  /** Work charged to the team on the grant, in prefill tokens. */
   charged: number;
-  /** Whether the answer's length is that of a whole answer. */
+  /** Whether the output is that of the whole request; a later attempt may continue an answer. */
   isFirstAttempt: boolean;
-  /** Requests on the server when it was granted, itself included. */
+  /** Requests on the server on the grant, this one included. */
   batch: number;
-  /** The server that reads its prompt, when it is another. */
+  /** The server that prefills the prompt, if it is a different one. */
   prefillServer: string | undefined;
-  /** When it was granted or adopted, on the holder's clock. */
+  /** When the permit was granted or adopted, on the holder's clock. */
   grantedAt: number;
-  /** Absent once the first token came, and for a permit granted by an earlier holder. */
+  /** `undefined` after the first token, and for a permit of an earlier holder. */
   pendingPrefill: PendingPrefill | undefined;
 }
 
-/** What is known of a server and what was granted on it. */
+/** The record of a server. */
 export interface Server {
   vm: Vm;
-  /** Most requests at once. */
+  /** Maximum number of concurrent requests. */
   slots: number;
   /** KV cache in tokens; infinite for plain services. */
   kvTokens: number;
@@ -73,40 +73,40 @@
   role: Role;
   models: ReadonlySet<string>;
   adapters: ReadonlySet<string>;
-  /** Changes with every start of the server's process; empty until it was first reached. */
+  /** Changes with every start of the server's process; empty before the first answer. */
   incarnation: string;
-  /** How often in a row it did not answer the holder. */
+  /** Consecutive state requests of the holder without an answer. */
   missedAnswers: number;
-  /** Carrying out an order. */
+  /** Whether the engine is executing an order. */
   busy: boolean;
-  /** It said itself that it leaves. */
+  /** Whether the server reports that it is leaving. */
   leaving: boolean;
-  /** No new work, because an order is about to be given. */
+  /** Whether the holder grants no permits because it is about to give an order. */
   heldForOrder: boolean;
   permits: Map<string, GrantedPermit>;
-  /** Tokens that the permits out may come to occupy. */
+  /** KV cache tokens reserved by the permits. */
   reservedTokens: number;
-  /** The permits whose first token has not come, by id. */
+  /** Permits before their first token, by id. */
   prefilling: Map<string, GrantedPermit>;
   prefixes: PrefixIndex;
-  /** Prefixes of the prompts that wait for this server, which it will have cached. */
+  /** Prefixes of the queued prompts that are assigned to this server. */
   plannedPrefixes: PrefixIndex;
   rates: ServerRates;
   health: ServerHealth;
 }
 
-/** Assumed until the server was first asked. */
-const UNKNOWN_SLOTS = 4;
+/** Slots assumed before the first answer of a server. */
+const DEFAULT_SLOTS = 4;
 
 /**
- * Creates the tally of a server about which only the platform's list has spoken.
+ * Creates the record of a server that has not been queried yet.
  *
  * @param vm the server's VM
  */
 export function createServer(vm: Vm): Server {
   return {
     vm,
-    slots: UNKNOWN_SLOTS,
+    slots: DEFAULT_SLOTS,
     kvTokens: Number.POSITIVE_INFINITY,
     prefillTokensPerSecond: Number.POSITIVE_INFINITY,
     decodeTokensPerSecond: Number.POSITIVE_INFINITY,
@@ -129,10 +129,10 @@
 }
 
 /**
- * Takes in what an engine says of itself.
+ * Updates the record from the state that an engine reports.
  *
- * @param server the tally to change
- * @param state the engine's own word
+ * @param server the record to change
+ * @param state the reported state
  */
 export function applyEngineState(server: Server, state: EngineState): void {
   if (server.incarnation !== state.incarnation) {
@@ -155,10 +155,10 @@
 }
 
 /**
- * Takes in what a plain service's worker says of itself.
+ * Updates the record from the state that a plain service's worker reports.
  *
- * @param server the tally to change
- * @param state the worker's own word
+ * @param server the record to change
+ * @param state the reported state
  */
 export function applyServiceState(server: Server, state: ServiceState): void {
   if (server.incarnation !== state.incarnation) server.health.restart();
@@ -169,10 +169,10 @@
 }
 
 /**
- * Counts a permit.
+ * Adds a permit; does nothing if it is already recorded.
  *
- * @param server the tally to change
- * @param permit the permit that is out from now on
+ * @param server the record to change
+ * @param permit the permit
  */
 export function addPermit(server: Server, permit: GrantedPermit): void {
   if (server.permits.has(permit.permitId)) return;
@@ -182,10 +182,10 @@
 }
 
 /**
- * Counts a permit no longer.
+ * Removes a permit; returns `undefined` if it is not recorded.
  *
- * @param server the tally to change
- * @param permitId the permit that is no longer out
+ * @param server the record to change
+ * @param permitId id of the permit
  */
 export function removePermit(server: Server, permitId: string): GrantedPermit | undefined {
   const permit = server.permits.get(permitId);
@@ -197,10 +197,10 @@
 }
 
 /**
- * How many prompt tokens a server reads in the time that one token of an answer costs it in a full
- * batch, by its own word; 1 where it said nothing.
+ * Cost of an output token in prefill tokens, in a full batch at the rates that the engine reports;
+ * 1 if it has not reported any.
  *
- * @param server the tally to read
+ * @param server the server
  */
 export function resolveOutputWeight(server: Server): number {
   const { prefillTokensPerSecond, decodeTokensPerSecond, slots } = server;
@@ -209,44 +209,43 @@
 }
 
 /**
- * Free places for requests, as far as slots go.
+ * Slots without a permit.
  *
- * @param server the tally to read
+ * @param server the server
  */
 export function countFreeSlots(server: Server): number {
   return server.slots - server.permits.size;
 }
 
-/** A request that looks for a place. */
+/** A permit query with the holder's classification. */
 export interface ClassifiedRequest {
   query: PermitQuery;
-  /** Whether its prompt counts as long. */
+  /** Whether the prompt is classified as long. */
   isLong: boolean;
-  /** Whether its team had more than its share lately. */
+  /** Whether the team recently exceeded its fair share. */
   isBeyondShare: boolean;
 }
 
 /**
- * Prompt tokens on the server that are read before those of a new request. Engines honour
- * priorities and short prompts are given the better one, so long prompts do not count for a short
- * one.
+ * Uncached prompt tokens that a server prefills before a new request. Short prompts have a higher
+ * engine priority, so long prompts do not count for them.
  *
- * @param server the tally to read
- * @param isLong whether the new request's prompt counts as long
+ * @param server the server
+ * @param isLong whether the new request's prompt is classified as long
  */
 export function countPrefillQueueTokens(server: Server, isLong: boolean): number {
   let tokens = 0;
-  for (const reader of server.prefilling.values()) {
-    if (reader.isLong && !isLong) continue;
-    tokens += reader.pendingPrefill?.uncachedTokens ?? 0;
+  for (const permit of server.prefilling.values()) {
+    if (permit.isLong && !isLong) continue;
+    tokens += permit.pendingPrefill?.uncachedTokens ?? 0;
   }
   return tokens;
 }
 
 /**
- * Requests with long prompts on the server.
+ * Permits with long prompts on a server.
  *
- * @param server the tally to read
+ * @param server the server
  */
 export function countLongPrompts(server: Server): number {
   let count = 0;
@@ -257,9 +256,9 @@
 }
 
 /**
- * Prompt tokens of a request that the server would have to read.
+ * Prompt tokens of a request that are not in the server's prefix cache.
  *
- * @param server the tally to read
+ * @param server the server
  * @param query the request
  */
 export function countUncachedTokens(server: Server, query: PermitQuery): number {
@@ -268,9 +267,10 @@
 }
 
 /**
- * Prompt tokens of a request that the server would have to read after what waits for it.
+ * Prompt tokens of a request that will not be in the prefix cache once the queued prompts that are
+ * assigned to the server have been prefilled.
  *
- * @param server the tally to read
+ * @param server the server
  * @param query the request
  */
 export function countUncachedAfterQueue(server: Server, query: PermitQuery): number {
--- a/src/permits/shard-decisions.ts
+++ b/src/permits/shard-decisions.ts
@@ -1,7 +1,7 @@
 /**
- * The decisions of a shard's holder, over its tallies and its queue: who can serve a request, where
- * it goes, when it may be expected to start, and whose turn is given up when there is no room left
- * to wait. Nothing here changes a tally or the queue.
+ * The scheduling decisions of a shard holder: which servers can serve a request, which one it is
+ * assigned to, its estimated latency, and which team loses requests if the queue is full. Nothing
+ * here changes the records of servers or the queue.
  */
 import type { PermitQuery } from '../links/index.js';
 import type { Decisions } from '../settings/index.js';
@@ -37,7 +37,7 @@
 import { addBacklog, createBacklog, type Backlog, type TeamQueue } from './team-queue.js';
 import type { WaitRecord } from './wait-record.js';
 
-/** What the decisions look at. */
+/** Input of the decisions. */
 export interface ShardDecisionsParts {
   decisions: Decisions;
   membership: GroupMembership;
@@ -50,53 +50,52 @@
 
 /** The decisions of one shard. Times are milliseconds on the holder's clock. */
 export interface ShardDecisions {
-  /** Servers that can serve a request, with room or without. */
+  /** Servers that can serve a request, whether or not they have room. */
   candidates(query: PermitQuery): Server[];
-  /** Whether a request's prompt counts as long. */
+  /** Whether the prompt is long to prefill on each of the candidates. */
   isLong(query: PermitQuery, candidates: readonly Server[], now: number): boolean;
-  /** The server that a request waits for, and when it may be expected to start there. */
+  /** Assigns a new request to a server and estimates its latency there. */
   assign(request: ClassifiedRequest, candidates: readonly Server[], now: number): Assignment;
-  /** Whether the server that a request waits for still takes it. */
+  /** Whether the server that a request is assigned to still takes it. */
   isAssignmentValid(waiting: WaitingRequest, now: number): boolean;
-  /** Where a request goes now whose turn it is; `undefined` while there is no room. */
+  /** Chooses a server with room for a waiting request; `undefined` if there is none. */
   place(waiting: WaitingRequest, now: number): ServerChoice | undefined;
-  /** A request that a server with nothing to do takes from another's queue. */
+  /** Work stealing: a request that a server without queued work takes from another server's queue. */
   steal(now: number): StolenRequest | undefined;
-  /** When a request that waits may be expected to start. */
+  /** Estimates the remaining latency of a waiting request. */
   estimate(waiting: WaitingRequest, now: number): LatencyEstimate;
-  /** The team with the longest queue for its weight, in requests. */
+  /** The queue of a team with the most requests relative to the team's weight. */
   longestQueue(): TeamQueue | undefined;
 }
 
-/** Where a request waits. */
+/** The server that a request waits for. */
 export interface Assignment {
-  /** Absent when it takes the first server that has room. */
+  /** `undefined` if the request takes the first candidate with room. */
   server: Server | undefined;
-  /** Prompt tokens that will probably have to be read. */
+  /** Prompt tokens that are expected to need prefill. */
   uncachedTokens: number;
   estimate: LatencyEstimate;
 }
 
-/** A request that goes to another server than it waits for. */
+/** A request that goes to another server than the one it is assigned to. */
 export interface StolenRequest {
   waiting: WaitingRequest;
   choice: ServerChoice;
 }
 
 /**
- * What is read anew takes the place of something in the cache, which will have to be read again:
- * each token to read counts so many times more. Not on the server where the prompt is at home, so
- * that prompts with the same beginning stay together however often they were forgotten.
+ * Weight of the cache entries that a prefill evicts, which have to be computed again later. It does
+ * not apply on the preferred server of a prefix, so that prompts with equal prefixes stay together.
  */
-const REPLACED_WEIGHT = 4;
+const EVICTION_WEIGHT = 4;
 
-/** A prompt that a server reads in this time is short. */
-const SHORT_READ_MS = 50;
+/** A prompt that a server prefills in this time is short. */
+const SHORT_PREFILL_MS = 50;
 
 /**
  * Creates the decisions of a shard.
  *
- * @param parts the tallies, the queue and what was learned
+ * @param parts the records of servers, the queue and the learned delays
  */
 export function createShardDecisions(parts: ShardDecisionsParts): ShardDecisions {
   const { decisions, membership, queue, share, waits } = parts;
@@ -107,11 +106,11 @@
     for (const server of parts.servers.values()) {
       if (canServe(server, query, membership)) found.push(server);
     }
-    return canBeServed(found) ? found : [];
+    return coversRoles(found) ? found : [];
   }
 
-  /** Engines with roles serve only together: one to read, another to generate. */
-  function canBeServed(found: readonly Server[]): boolean {
+  /** Engines with roles can only serve together: one for prefill, another for decode. */
+  function coversRoles(found: readonly Server[]): boolean {
     const roles = new Set<string>();
     for (const { role } of found) roles.add(role);
     if (roles.has('mixed')) return true;
@@ -123,12 +122,19 @@
     return { fairness, shortReserve, ejection, ejectionExempt: resolveEjectionExempt(candidates) };
   }
 
-  /** Lanes for all of some servers; of those that wait for none in particular, each has its part. */
-  function lanesFor(query: PermitQuery, server: Server | undefined, count: number): SubqueuePart[] {
-    const target = resolveEligibilityKey(query);
+  /**
+   * Subqueues that compete for a server, or for all candidates if it is `undefined`. The work of
+   * requests without an assigned server is divided among the candidates.
+   */
+  function selectSubqueues(
+    query: PermitQuery,
+    server: Server | undefined,
+    count: number,
+  ): SubqueuePart[] {
+    const key = resolveEligibilityKey(query);
     const found: SubqueuePart[] = [];
     for (const subqueue of queue.subqueues()) {
-      if (subqueue.eligibilityKey !== target) continue;
+      if (subqueue.eligibilityKey !== key) continue;
       if (server === undefined || subqueue.server === server.vm.id)
         found.push({ subqueue, part: 1 });
       else if (subqueue.server === undefined) found.push({ subqueue, part: 1 / count });
@@ -136,16 +142,16 @@
     return found;
   }
 
-  function forecast(
+  function estimateOn(
     request: ClassifiedRequest,
     server: Server | undefined,
     candidates: readonly Server[],
     now: number,
   ): LatencyEstimate {
     return estimateLatency({
-      request: request,
+      request,
       candidates: server === undefined ? candidates : [server],
-      subqueues: lanesFor(request.query, server, candidates.length),
+      subqueues: selectSubqueues(request.query, server, candidates.length),
       share,
       isFair: decisions.fairness,
       correction: waits.correction(request.isLong),
@@ -155,7 +161,7 @@
     });
   }
 
-  /** Requests wait for one engine where its cache matters and it does all of the work. */
+  /** Servers that requests can be assigned to: mixed engines, if cache affinity is enabled. */
   function listAssignable(candidates: readonly Server[], now: number): Server[] {
     const found: Server[] = [];
     if (!decisions.affinity) return found;
@@ -167,10 +173,10 @@
     return found;
   }
 
-  /** Whether it makes a difference which server reads the prompt. */
-  function isParticular(query: PermitQuery, servers: readonly Server[], now: number): boolean {
+  /** Whether the prompt needs more than a short prefill on any of the servers. */
+  function needsLongPrefill(query: PermitQuery, servers: readonly Server[], now: number): boolean {
     for (const server of servers) {
-      const shortTokens = server.rates.tokensPrefilledIn(SHORT_READ_MS, now);
+      const shortTokens = server.rates.tokensPrefilledIn(SHORT_PREFILL_MS, now);
       if (countUncachedAfterQueue(server, query) > shortTokens) return true;
     }
     return false;
@@ -184,27 +190,34 @@
     let best: Assignment | undefined;
     let leastMs = Number.POSITIVE_INFINITY;
     const listed = listAssignable(candidates, now);
-    const assignable = isParticular(request.query, listed, now) ? listed : [];
-    const home = findHome(request.query, assignable);
+    const assignable = needsLongPrefill(request.query, listed, now) ? listed : [];
+    const preferred = findPreferred(request.query, assignable);
     for (const server of assignable) {
       const uncachedTokens = countUncachedAfterQueue(server, request.query);
-      const foretold = forecast(request, server, candidates, now);
-      const replaced = server === home ? 0 : uncachedTokens * REPLACED_WEIGHT;
-      const costMs = assignedMs(server, request, uncachedTokens, replaced, foretold, now);
+      const latency = estimateOn(request, server, candidates, now);
+      const evictedTokens = server === preferred ? 0 : uncachedTokens * EVICTION_WEIGHT;
+      const costMs = resolveAssignedMs(
+        server,
+        request,
+        uncachedTokens,
+        evictedTokens,
+        latency,
+        now,
+      );
       if (costMs >= leastMs) continue;
-      best = { server, uncachedTokens, estimate: foretold };
+      best = { server, uncachedTokens, estimate: latency };
       leastMs = costMs;
     }
     if (best !== undefined) return best;
-    const foretold = forecast(request, undefined, candidates, now);
+    const latency = estimateOn(request, undefined, candidates, now);
     return {
       server: undefined,
-      uncachedTokens: leastUncached(request.query, candidates),
-      estimate: foretold,
+      uncachedTokens: countLeastUncached(request.query, candidates),
+      estimate: latency,
     };
   }
 
-  function findServing({ server: id, query }: WaitingRequest): Server | undefined {
+  function findAssigned({ server: id, query }: WaitingRequest): Server | undefined {
     const server = parts.servers.get(id ?? '');
     return server !== undefined && canServe(server, query, membership) ? server : undefined;
   }
@@ -212,7 +225,7 @@
   function chooseAny(request: ClassifiedRequest, now: number): ServerChoice | undefined {
     const candidates = listCandidates(request.query);
     return chooseServer({
-      request: request,
+      request,
       candidates,
       cache,
       handover: decisions.handover,
@@ -222,7 +235,7 @@
     });
   }
 
-  /** What waits for each server. */
+  /** Work of the requests that are assigned to each server, by server id. */
   function backlogs(): Map<string, Backlog> {
     const sums = new Map<string, Backlog>();
     for (const { server, teams } of queue.subqueues()) {
@@ -234,32 +247,36 @@
     return sums;
   }
 
-  /** The last in turn of the team that has most waiting in a subqueue gains most by going elsewhere. */
-  function findTakeOver(
-    taker: Server,
+  /** Selects the least urgent request of the longest team queue if it finishes sooner on the thief. */
+  function findStealable(
+    thief: Server,
     subqueue: Subqueue,
-    ownMs: number,
+    queuedMs: number,
     now: number,
   ): WaitingRequest | undefined {
     const longest = findLongest(subqueue.teams.values());
     const waiting = longest && findLeastUrgent(longest);
-    if (waiting === undefined || !canServe(taker, waiting.query, membership)) return undefined;
+    if (waiting === undefined || !canServe(thief, waiting.query, membership)) return undefined;
     const terms = termsFor(listCandidates(waiting.query));
-    if (!hasRoom(taker, waiting, now, terms)) return undefined;
-    const uncachedTokens = countUncachedTokens(taker, waiting.query);
-    const replacedMs =
-      readMs(taker, Math.max(0, uncachedTokens - waiting.uncachedTokens), now) * REPLACED_WEIGHT;
-    const takenMs =
-      readMs(taker, countPrefillQueueTokens(taker, waiting.isLong) + uncachedTokens, now) +
-      replacedMs;
-    return takenMs * resolveHealthPenalty(taker) < ownMs ? waiting : undefined;
+    if (!hasRoom(thief, waiting, now, terms)) return undefined;
+    const uncachedTokens = countUncachedTokens(thief, waiting.query);
+    const evictionMs =
+      estimatePrefillMs(thief, Math.max(0, uncachedTokens - waiting.uncachedTokens), now) *
+      EVICTION_WEIGHT;
+    const stolenMs =
+      estimatePrefillMs(
+        thief,
+        countPrefillQueueTokens(thief, waiting.isLong) + uncachedTokens,
+        now,
+      ) + evictionMs;
+    return stolenMs * resolveHealthPenalty(thief) < queuedMs ? waiting : undefined;
   }
 
   return {
     candidates: listCandidates,
     isLong(query, candidates, now) {
       for (const server of candidates) {
-        const shortTokens = server.rates.tokensPrefilledIn(SHORT_READ_MS, now);
+        const shortTokens = server.rates.tokensPrefilledIn(SHORT_PREFILL_MS, now);
         if (countUncachedTokens(server, query) <= shortTokens) return false;
       }
       return true;
@@ -267,13 +284,13 @@
     assign,
     isAssignmentValid(waiting, now) {
       if (waiting.server === undefined) return true;
-      const server = findServing(waiting);
+      const server = findAssigned(waiting);
       if (server?.role !== 'mixed') return false;
       return resolveLimit(server, now, termsFor(listCandidates(waiting.query))) > 0;
     },
     place(waiting, now) {
       if (waiting.server === undefined) return chooseAny(waiting, now);
-      const server = findServing(waiting);
+      const server = findAssigned(waiting);
       if (server === undefined) return undefined;
       const terms = termsFor(listCandidates(waiting.query));
       return hasRoom(server, waiting, now, terms) ? { server, prefill: undefined } : undefined;
@@ -281,28 +298,28 @@
     steal(now) {
       const sums = backlogs();
       if (sums.size === 0) return undefined;
-      for (const taker of parts.servers.values()) {
-        if (sums.has(taker.vm.id) || taker.role !== 'mixed') continue;
+      for (const thief of parts.servers.values()) {
+        if (sums.has(thief.vm.id) || thief.role !== 'mixed') continue;
         for (const subqueue of queue.subqueues()) {
           const server = parts.servers.get(subqueue.server ?? '');
           const backlog = sums.get(subqueue.server ?? '');
           if (server === undefined || backlog === undefined) continue;
-          const ownMs = resolveWorkMs(
+          const queuedMs = resolveWorkMs(
             [server],
             backlog,
             now,
             termsFor([...parts.servers.values()]),
           );
-          const waiting = findTakeOver(taker, subqueue, ownMs, now);
+          const waiting = findStealable(thief, subqueue, queuedMs, now);
           if (waiting !== undefined)
-            return { waiting, choice: { server: taker, prefill: undefined } };
+            return { waiting, choice: { server: thief, prefill: undefined } };
         }
       }
       return undefined;
     },
     estimate(waiting, now) {
       const candidates = listCandidates(waiting.query);
-      return forecast(waiting, findServing(waiting), candidates, now);
+      return estimateOn(waiting, findAssigned(waiting), candidates, now);
     },
     longestQueue() {
       const longest: TeamQueue[] = [];
@@ -318,91 +335,91 @@
 function findLongest(teams: Iterable<TeamQueue>): TeamQueue | undefined {
   let longest: TeamQueue | undefined;
   for (const team of teams) {
-    if (longest === undefined || lengthOf(team) > lengthOf(longest)) longest = team;
+    if (longest === undefined || resolveRelativeLength(team) > resolveRelativeLength(longest))
+      longest = team;
   }
   return longest;
 }
 
-function leastUncached(query: PermitQuery, candidates: readonly Server[]): number {
+function countLeastUncached(query: PermitQuery, candidates: readonly Server[]): number {
   let least = query.promptTokens;
   for (const server of candidates) least = Math.min(least, countUncachedTokens(server, query));
   return least;
 }
 
-function readMs(server: Server, tokens: number, now: number): number {
+function estimatePrefillMs(server: Server, tokens: number, now: number): number {
   return server.rates.firstTokenMs(tokens, now);
 }
 
-/** Time of a request that waits for a server, with what it adds to the work there. */
-function assignedMs(
+/** Estimated time of a request on a server, with the cost of evictions and the slowdown of others. */
+function resolveAssignedMs(
   server: Server,
   request: ClassifiedRequest,
   uncachedTokens: number,
-  replaced: number,
+  evictedTokens: number,
   { queueingMs }: LatencyEstimate,
   now: number,
 ): number {
-  const ownMs = readMs(
+  const firstTokenMs = estimatePrefillMs(
     server,
     countPrefillQueueTokens(server, request.isLong) + uncachedTokens,
     now,
   );
-  const replacedMs = readMs(server, replaced, now) - readMs(server, 0, now);
+  const evictionMs =
+    estimatePrefillMs(server, evictedTokens, now) - estimatePrefillMs(server, 0, now);
   const decodeMs = resolveSharedDecodeMs(server, request, now);
-  return (queueingMs + ownMs + replacedMs + decodeMs) * resolveHealthPenalty(server);
+  return (queueingMs + firstTokenMs + evictionMs + decodeMs) * resolveHealthPenalty(server);
 }
 
-/** Share of a prompt that is looked at for its home: questions after a common text differ. */
-const HOME_SHARE = 0.75;
+/** Share of a prompt that is hashed, as the ends of prompts with a common prefix differ. */
+const HASHED_SHARE = 0.75;
 
-/** The server where prompts that begin alike belong, by rendezvous hashing. */
-function findHome(query: PermitQuery, servers: readonly Server[]): Server | undefined {
-  const deepest = query.prefixes.length * HOME_SHARE;
-  // A power of two, so that prompts of about the same length look at the same place.
+/** The preferred server for prompts with the same prefix, by rendezvous hashing. */
+function findPreferred(query: PermitQuery, servers: readonly Server[]): Server | undefined {
+  const deepest = query.prefixes.length * HASHED_SHARE;
+  // A power of two, so that prompts of similar length hash the same prefix.
   const depth = 2 ** Math.floor(Math.log2(Math.max(1, deepest)));
   const prefix = query.prefixes[depth - 1];
   if (prefix === undefined) return undefined;
-  let home: Server | undefined;
+  let preferred: Server | undefined;
   let highest = -1;
   for (const server of servers) {
     const score = hashName(`${prefix}@${server.vm.id}`);
     if (score <= highest) continue;
-    home = server;
+    preferred = server;
     highest = score;
   }
-  return home;
+  return preferred;
 }
 
-function lengthOf({ heap, weight }: TeamQueue): number {
+function resolveRelativeLength({ heap, weight }: TeamQueue): number {
   return heap.size() / weight;
 }
 
 /**
- * The request of a queue that is given up first: the least urgent one.
+ * Returns the least urgent request of a queue.
  *
  * @param queue the queue of a team
  */
 export function findLeastUrgent(queue: TeamQueue): WaitingRequest | undefined {
   let last: WaitingRequest | undefined;
   for (const waiting of queue.heap.items()) {
-    if (last === undefined || compareLastFirst(waiting, last) < 0) last = waiting;
+    if (last === undefined || compareLeastUrgentFirst(waiting, last) < 0) last = waiting;
   }
   return last;
 }
 
 /**
- * The requests of a queue, the least urgent first.
+ * Returns the requests of a queue, the least urgent first.
  *
  * @param queue the queue of a team
  */
 export function sortLeastUrgentFirst(queue: TeamQueue): WaitingRequest[] {
   const waiting = [...queue.heap.items()];
-  waiting.sort(compareLastFirst);
+  waiting.sort(compareLeastUrgentFirst);
   return waiting;
 }
 
-function compareLastFirst(left: WaitingRequest, right: WaitingRequest): number {
-  return (
-    right.query.priority - left.query.priority || right.firstTokenDeadline - left.firstTokenDeadline
-  );
+function compareLeastUrgentFirst(a: WaitingRequest, b: WaitingRequest): number {
+  return b.query.priority - a.query.priority || b.firstTokenDeadline - a.firstTokenDeadline;
 }
--- a/src/permits/shard-holder.ts
+++ b/src/permits/shard-holder.ts
@@ -1,15 +1,14 @@
 /**
- * The task that grants permits for the servers of one shard. It alone places requests there, so its
- * tally is exact; a router that was granted a permit speaks to the server itself.
+ * Grants permits for the servers of one shard. As the only one to place requests there, the holder
+ * has an exact count of them; a router with a permit calls the server itself.
  *
- * How old what it goes by may be:
- * - permits out: exact, but for messages under way; a lost one is mended by the next adoption
- *   (a second), after a grace of two;
- * - a server's state: half a second; a server that missed two answers gets nothing;
- * - load reports: read for nothing here; before an order the engine is asked afresh (`src/orders`);
- * - learned rates: halve every ten seconds without work, towards the engine's own word;
- * - cached prefixes: those granted here, less what late events take away; a gap in the events is
- *   made good by what answers say of cached tokens.
+ * Staleness of the state that decisions depend on:
+ * - permits: exact apart from messages in flight; a lost release is corrected by the next adoption
+ *   (every second), after a grace period of 2 s;
+ * - server state: 0.5 s; a server that missed two answers gets no work;
+ * - load reports: not used; before an order the engine's load is read anew (`src/orders`);
+ * - learned rates: measurements have a half-life of 10 s, beyond which the reported rates apply;
+ * - cached prefixes: those of prompts prefilled under permits, less those in cache events.
  */
 import type {
   PermitAdoption,
@@ -65,11 +64,11 @@
 import { createWaitRecord } from './wait-record.js';
 
 const TICK_EVERY_MS = 50;
-const LEAST_RETRY_AFTER_MS = 100;
-const MOST_RETRY_AFTER_MS = 30_000;
-/** A permit younger than this may still be on its way to its router. */
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 30_000;
+/** The message that grants a permit younger than this may not have reached its router yet. */
 const ADOPTION_GRACE_MS = 2_000;
-/** Handover times assumed until one was seen, in milliseconds over tokens. */
+/** Handover times without measurements, in milliseconds by prompt tokens. */
 const HANDOVER_ANCHORS = [
   { x: 0, y: 5 },
   { x: 4_096, y: 25 },
@@ -84,37 +83,37 @@
   clock: Clock;
   metrics: Metrics;
   decisions: Decisions;
-  /** Most requests that may wait. */
+  /** Maximum number of waiting requests. */
   maxQueue: number;
   createId(): string;
-  /** Whether this node's lease is valid; requests that may not be repeated need it. */
+  /** Whether this node's lease is valid; non-repeatable requests are refused without it. */
   isLeaseValid(): boolean;
 }
 
 /** The holder of one shard. */
 export interface ShardHolder {
+  /** Resolves when the permit is granted or refused. */
   ask(node: string, query: PermitQuery): Promise<PermitAnswer>;
   progress(progress: PermitProgress): void;
   release(release: PermitRelease): void;
   cancel(node: string, requestId: string, attempt: number): void;
   adopt(adoption: PermitAdoption): void;
-  /** A node is gone; its permits are no longer in use. */
+  /** Removes the permits of a node that is gone. */
   forgetNode(node: string): void;
   setVms(vms: readonly Vm[]): void;
   updateEngine(state: EngineState): void;
   updateService(state: ServiceState): void;
   applyCacheEvents(server: string, events: readonly CacheEvent[]): void;
-  /** A server did not answer. */
   recordMissedAnswer(server: string): void;
-  /** Keeps a server free of new work, for an order. */
+  /** Stops or resumes granting permits on a server, for an order. */
   holdForOrder(server: string, held: boolean): void;
-  /** Permits out on a server; 0 for one that the shard does not have. */
+  /** Number of permits on a server; 0 for a server outside the shard. */
   permitsOn(server: string): number;
   servers(): Server[];
   /** Mean demand for a group over the last `horizonMs`, by class; refused requests included. */
   demand(group: string, horizonMs: number): ClassDemand[];
   summary(): ShardSummary;
-  /** Refuses everyone who waits; the shard is no longer held here. */
+  /** Refuses all waiting requests because the shard is no longer held here. */
   stop(): void;
 }
 
@@ -128,9 +127,9 @@
   const servers = new Map<string, Server>();
   const share = createFairShare();
   const queue = createFairQueue({ share, isFair: switches.fairness });
-  const recent = createRecentUse();
+  const recentUse = createRecentUse();
   const waits = createWaitRecord();
-  const lengths = createOutputEstimate();
+  const outputEstimate = createOutputEstimate();
   const demand = createDemandMeter(clock.now());
   const handoverMs = createLineFit(HANDOVER_ANCHORS);
   const decisions = createShardDecisions({
@@ -145,21 +144,21 @@
   let sequence = 0;
   let stopped = false;
   let tick: Timer | undefined;
-  let usable = 0;
+  let previousCount = 0;
 
   function ask(asker: string, query: PermitQuery): Promise<PermitAnswer> {
     if (stopped) return Promise.resolve(refuse('lost'));
     if (!query.repeatable && !parts.isLeaseValid()) {
       return Promise.resolve(refuse('no-claims', RETRY_AFTER_MS));
     }
-    const wish = withLearnedLength(query);
-    const candidates = decisions.candidates(wish);
+    const sized = withEstimatedOutput(query);
+    const candidates = decisions.candidates(sized);
     if (candidates.length === 0) return Promise.resolve(refuse('no-server', RETRY_AFTER_MS));
     const now = clock.now();
-    const request = createGuest(wish, candidates, now);
-    if (wish.attempt === 1) noteDemand(wish, candidates, now);
+    const request = classify(sized, candidates, now);
+    if (sized.attempt === 1) recordDemand(sized, candidates, now);
     const assignment = decisions.assign(request, candidates, now);
-    const refusal = refuseLate(request, assignment.estimate) ?? refuseFull(wish.team);
+    const refusal = refuseLate(request, assignment.estimate) ?? refuseFull(sized.team);
     if (refusal !== undefined) return Promise.resolve(refusal);
     return new Promise((resolve) => {
       enqueue(createWaiting(asker, request, assignment, now, resolve), assignment.server);
@@ -167,22 +166,22 @@
     });
   }
 
-  function createGuest(
+  function classify(
     query: PermitQuery,
     candidates: readonly Server[],
     now: number,
   ): ClassifiedRequest {
     const isLong = decisions.isLong(query, candidates, now);
-    const isBeyondShare = switches.fairness && recent.isBeyondShare(query.team, now);
+    const isBeyondShare = switches.fairness && recentUse.isBeyondShare(query.team, now);
     return { query, isLong, isBeyondShare };
   }
 
   function charge(charged: TeamCharge): void {
     queue.charge(charged);
-    recent.add(charged, clock.now());
+    recentUse.add(charged, clock.now());
   }
 
-  function noteDemand(query: PermitQuery, candidates: readonly Server[], now: number): void {
+  function recordDemand(query: PermitQuery, candidates: readonly Server[], now: number): void {
     let promptTokens = query.promptTokens;
     for (const server of candidates) {
       promptTokens = Math.min(promptTokens, countUncachedTokens(server, query));
@@ -191,33 +190,33 @@
     demand.add({ group, class: name, promptTokens, outputTokens }, now);
   }
 
-  function withLearnedLength(query: PermitQuery): PermitQuery {
+  function withEstimatedOutput(query: PermitQuery): PermitQuery {
     if (parts.kind === 'plain-service' || query.attempt > 1) return query;
-    const expected = lengths.estimate(query, query.expectedOutputTokens);
-    const most = query.maxOutputTokens ?? expected;
-    return { ...query, expectedOutputTokens: Math.max(1, Math.min(expected, most)) };
+    const expected = outputEstimate.estimate(query, query.expectedOutputTokens);
+    const maxTokens = query.maxOutputTokens ?? expected;
+    return { ...query, expectedOutputTokens: Math.max(1, Math.min(expected, maxTokens)) };
   }
 
   function createWaiting(
     asker: string,
     request: ClassifiedRequest,
-    { server, uncachedTokens, estimate: forecast }: Assignment,
+    { server, uncachedTokens, estimate }: Assignment,
     now: number,
     answer: (answer: PermitAnswer) => void,
   ): WaitingRequest {
     const { query, isLong, isBeyondShare } = request;
     const firstTokenDeadline = now + query.firstTokenInMs;
-    const readMs = switches.admission ? forecast.prefillMs : 0;
+    const prefillMs = switches.admission ? estimate.prefillMs : 0;
     return {
       query,
       node: asker,
       arrivedAt: now,
-      firstTokenDeadline: firstTokenDeadline,
-      latestGrantAt: Math.max(now, firstTokenDeadline - readMs),
+      firstTokenDeadline,
+      latestGrantAt: Math.max(now, firstTokenDeadline - prefillMs),
       isLong,
       isBeyondShare,
-      expectedWaitMs: forecast.queueingMs,
-      uncachedTokens: uncachedTokens,
+      expectedWaitMs: estimate.queueingMs,
+      uncachedTokens,
       server: server?.vm.id,
       answer,
     };
@@ -228,7 +227,7 @@
     queue.add(waiting);
   }
 
-  /** The server that a request waited for no longer takes it. */
+  /** Assigns a waiting request anew after its server became unavailable. */
   function reassign(waiting: WaitingRequest): void {
     queue.remove(waiting);
     const candidates = decisions.candidates(waiting.query);
@@ -240,33 +239,37 @@
 
   function refuse(reason: RefusalReason, retryAfterMs?: number): PermitAnswer {
     if (retryAfterMs === undefined) return createPermitRefusal(node, reason);
-    const bounded = Math.max(LEAST_RETRY_AFTER_MS, Math.min(MOST_RETRY_AFTER_MS, retryAfterMs));
+    const bounded = Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, retryAfterMs));
     return createPermitRefusal(node, reason, bounded);
   }
 
   function refuseLate(
     { query }: ClassifiedRequest,
-    forecast: LatencyEstimate,
+    estimate: LatencyEstimate,
   ): PermitAnswer | undefined {
     if (!switches.admission) return undefined;
-    const lateMs = resolveLatenessMs(query, forecast);
-    if (lateMs <= 0) return undefined;
-    if (lateMs > forecast.queueingMs) return refuse('never-in-time', RETRY_AFTER_MS);
-    return refuse('too-late', lateMs);
+    const latenessMs = resolveLatenessMs(query, estimate);
+    if (latenessMs <= 0) return undefined;
+    if (latenessMs > estimate.queueingMs) return refuse('never-in-time', RETRY_AFTER_MS);
+    return refuse('too-late', latenessMs);
   }
 
-  /** A full queue makes room at the cost of the team that has most waiting for its weight. */
+  /** If the queue is full, a request of the team with the longest queue for its weight is refused. */
   function refuseFull(team: string): PermitAnswer | undefined {
     if (queue.size() < parts.maxQueue) return undefined;
     const longest = decisions.longestQueue();
     if (longest === undefined || longest.team === team)
       return refuse('queue-full', waits.releaseIntervalMs());
     const last = findLeastUrgent(longest);
-    if (last !== undefined) giveUp(last, 'queue-full', waits.releaseIntervalMs());
+    if (last !== undefined) refuseWaiting(last, 'queue-full', waits.releaseIntervalMs());
     return undefined;
   }
 
-  function giveUp(waiting: WaitingRequest, reason: RefusalReason, retryAfterMs?: number): void {
+  function refuseWaiting(
+    waiting: WaitingRequest,
+    reason: RefusalReason,
+    retryAfterMs?: number,
+  ): void {
     if (!queue.remove(waiting)) return;
     const waitedMs = clock.now() - waiting.arrivedAt;
     if (reason === 'not-in-time') {
@@ -275,7 +278,7 @@
     waiting.answer(refuse(reason, retryAfterMs));
   }
 
-  /** Grants as long as the first in turn of any subqueue finds room. */
+  /** Grants permits until no first request of a subqueue finds room. */
   function dispatch(): void {
     if (stopped) return;
     const blocked = new Set<Subqueue>();
@@ -284,38 +287,38 @@
       if (head === undefined) break;
       const { waiting, subqueue } = head;
       const now = clock.now();
-      const chosen = decisions.place(waiting, now);
-      if (chosen !== undefined) grant(waiting, chosen);
+      const choice = decisions.place(waiting, now);
+      if (choice !== undefined) grant(waiting, choice);
       else if (decisions.isAssignmentValid(waiting, now)) blocked.add(subqueue);
       else reassign(waiting);
     }
-    takeOver();
+    stealRequests();
     updateMetrics();
     scheduleTick();
   }
 
-  /** Servers with nothing to do take from the queues of others what gains by it. */
-  function takeOver(): void {
+  /** Lets servers without queued work steal requests that they finish sooner. */
+  function stealRequests(): void {
     for (;;) {
-      const taken = decisions.steal(clock.now());
-      if (taken === undefined) return;
-      grant(taken.waiting, taken.choice);
+      const stolen = decisions.steal(clock.now());
+      if (stolen === undefined) return;
+      grant(stolen.waiting, stolen.choice);
     }
   }
 
-  function grant(waiting: WaitingRequest, chosen: ServerChoice): void {
+  function grant(waiting: WaitingRequest, choice: ServerChoice): void {
     const { query } = waiting;
     const { team, weight } = query;
     const now = clock.now();
     const { isBeyondShare } = waiting;
     const terms = { permitId: parts.createId(), shard, fence, now, isBeyondShare };
-    const { permit, granted, prefill } = createGrant(waiting, chosen, terms);
+    const { permit, granted, prefill } = createGrant(waiting, choice, terms);
     waits.observeWait(waiting.isLong, waiting.expectedWaitMs, permit.waitedMs);
     charge({ team, weight, tokens: granted.charged });
     queue.remove(waiting);
-    addPermit(chosen.server, granted);
-    const reader = chosen.prefill ?? chosen.server;
-    if (prefill !== undefined) addPermit(reader, prefill);
+    addPermit(choice.server, granted);
+    const prefillServer = choice.prefill ?? choice.server;
+    if (prefill !== undefined) addPermit(prefillServer, prefill);
     waiting.answer({ kind: 'permit.granted', permit });
   }
 
@@ -329,8 +332,8 @@
 
   function isActive(): boolean {
     if (queue.size() > 0) return true;
-    for (const { prefilling: readers } of servers.values()) {
-      if (readers.size > 0) return true;
+    for (const { prefilling } of servers.values()) {
+      if (prefilling.size > 0) return true;
     }
     return false;
   }
@@ -338,18 +341,18 @@
   function step(): void {
     const now = clock.now();
     for (const server of servers.values()) recordOverdue(server, now);
-    giveUpAll(listExpired(queue, now));
-    giveUpAll(listUnservable(queue, decisions));
-    const usableNow = countUsable();
-    if (usableNow < usable && switches.admission) giveUpAll(listLate(queue, decisions, now));
-    usable = usableNow;
+    refuseAll(listExpired(queue, now));
+    refuseAll(listUnservable(queue, decisions));
+    const usableCount = countUsable();
+    if (usableCount < previousCount && switches.admission)
+      refuseAll(listLate(queue, decisions, now));
+    previousCount = usableCount;
     dispatch();
   }
 
-  /** Whoever can no longer be on time hears so at once. */
-  function giveUpAll(found: Iterable<ShedRequest>): void {
+  function refuseAll(found: Iterable<ShedRequest>): void {
     for (const { waiting, reason, retryAfterMs } of found) {
-      giveUp(waiting, reason, retryAfterMs);
+      refuseWaiting(waiting, reason, retryAfterMs);
     }
   }
 
@@ -372,20 +375,20 @@
   }
 
   function endPrefill(permit: GrantedPermit, prefillMs: number | undefined): void {
-    const reader = servers.get(permit.prefillServer ?? '');
-    const reading = reader?.permits.get(resolvePrefillId(permit.permitId));
-    if (reader === undefined || reading === undefined) return;
-    if (prefillMs !== undefined) recordFirstToken(reader, reading, prefillMs, clock.now());
-    removePermit(reader, reading.permitId);
+    const server = servers.get(permit.prefillServer ?? '');
+    const prefill = server?.permits.get(resolvePrefillId(permit.permitId));
+    if (server === undefined || prefill === undefined) return;
+    if (prefillMs !== undefined) recordFirstToken(server, prefill, prefillMs, clock.now());
+    removePermit(server, prefill.permitId);
   }
 
-  /** Permits of a node that it no longer uses, granted long enough ago for it to have heard. */
-  function dropUnused(user: string, inUse: ReadonlySet<string>): void {
-    const heardBefore = clock.now() - ADOPTION_GRACE_MS;
+  /** Removes the permits that a node no longer uses, apart from those granted within the grace. */
+  function dropUnused(owner: string, inUse: ReadonlySet<string>): void {
+    const grantedBefore = clock.now() - ADOPTION_GRACE_MS;
     for (const server of servers.values()) {
       for (const permit of [...server.permits.values()]) {
-        if (permit.node !== user || inUse.has(resolvePermitId(permit.permitId))) continue;
-        if (permit.grantedAt <= heardBefore) removePermit(server, permit.permitId);
+        if (permit.node !== owner || inUse.has(resolvePermitId(permit.permitId))) continue;
+        if (permit.grantedAt <= grantedBefore) removePermit(server, permit.permitId);
       }
     }
     dispatch();
@@ -411,7 +414,7 @@
       const { team, weight, charged } = permit;
       recordRelease(server, permit, release, now);
       if (release.result === 'answered' && permit.isFirstAttempt) {
-        lengths.observe(permit, release.outputTokens);
+        outputEstimate.observe(permit, release.outputTokens);
       }
       waits.observeRelease(now);
       endPrefill(permit, undefined);
@@ -421,7 +424,7 @@
     },
     cancel(asker, requestId, attempt) {
       const waiting = queue.find({ node: asker, requestId, attempt });
-      if (waiting !== undefined) giveUp(waiting, 'withdrawn');
+      if (waiting !== undefined) refuseWaiting(waiting, 'withdrawn');
     },
     adopt(adoption) {
       const inUse = new Set<string>();
@@ -495,7 +498,7 @@
     stop() {
       stopped = true;
       tick?.cancel();
-      for (const waiting of [...queue.waiting()]) giveUp(waiting, 'lost');
+      for (const waiting of [...queue.waiting()]) refuseWaiting(waiting, 'lost');
     },
   };
 }
--- a/src/permits/shedding.ts
+++ b/src/permits/shedding.ts
@@ -1,7 +1,7 @@
 /**
- * Which requests stop waiting: those that can no longer be on time, those that no server can take,
- * and, after servers were lost, those for which too little is left. Decides only; whoever asks takes
- * each one out of the queue before the next.
+ * Selects waiting requests to refuse: those that can no longer meet their deadline, those that no
+ * server can serve, and, after the loss of servers, those whose estimate exceeds their latency
+ * objective. The caller must remove each request from the queue before it asks for the next.
  */
 import type { PermitQuery } from '../links/index.js';
 import type { LatencyEstimate } from './admission.js';
@@ -9,19 +9,18 @@
 import type { RefusalReason } from './refusals.js';
 import { sortLeastUrgentFirst, type ShardDecisions } from './shard-decisions.js';
 
-/** When to come back after a refusal that says nothing of the queue, in milliseconds. */
+/** Retry-After of refusals that do not depend on the queue, in milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 
-/** A request that stops waiting. */
+/** A waiting request that is to be refused. */
 export interface ShedRequest {
   waiting: WaitingRequest;
   reason: RefusalReason;
-  /** When asking again makes sense, in milliseconds. */
   retryAfterMs: number;
 }
 
 /**
- * Requests whose latest start has passed.
+ * Lists requests whose latest grant time has passed.
  *
  * @param queue the shard's queue
  * @param now the time on the holder's clock
@@ -36,10 +35,10 @@
 }
 
 /**
- * Requests that no server can take any more.
+ * Lists requests without a server that can serve them.
  *
  * @param queue the shard's queue
- * @param decisions who can serve what
+ * @param decisions selects the servers for a request
  */
 export function* listUnservable(
   queue: FairQueue,
@@ -48,7 +47,7 @@
   for (const { teams } of [...queue.subqueues()]) {
     for (const team of [...teams.values()]) {
       const first = team.heap.peek();
-      // All requests of a subqueue can go to the same servers.
+      // All requests of a subqueue have the same candidates.
       if (first === undefined || decisions.candidates(first.query).length > 0) break;
       for (const waiting of [...team.heap.items()]) {
         yield { waiting, reason: 'no-server', retryAfterMs: RETRY_AFTER_MS };
@@ -58,11 +57,11 @@
 }
 
 /**
- * Requests that would be late by what is foretold now, the least urgent of each team first, until
- * the rest of its queue fits.
+ * Lists requests whose estimate exceeds their latency objective, the least urgent of each team
+ * first, until one is on time: each removal shortens the estimates of the rest.
  *
  * @param queue the shard's queue
- * @param decisions what is foretold
+ * @param decisions estimates the latency of a request
  * @param now the time on the holder's clock
  */
 export function* listLate(
@@ -73,11 +72,11 @@
   for (const { teams } of [...queue.subqueues()]) {
     for (const team of [...teams.values()]) {
       for (const waiting of sortLeastUrgentFirst(team)) {
-        const passedMs = now - waiting.arrivedAt;
+        const waitedMs = now - waiting.arrivedAt;
         const retryAfterMs = resolveLatenessMs(
           waiting.query,
           decisions.estimate(waiting, now),
-          passedMs,
+          waitedMs,
         );
         if (retryAfterMs <= 0) break;
         yield { waiting, reason: 'too-late', retryAfterMs };
@@ -87,18 +86,19 @@
 }
 
 /**
- * How much later than allowed a request would be, in milliseconds; not above 0 when it is not.
+ * Returns by how much a request would miss its latency objective, in milliseconds; 0 or less if it
+ * would meet it.
  *
  * @param query the request
- * @param forecast what is foretold from now on
- * @param passedMs time that has passed since it came
+ * @param estimate the estimate from now on
+ * @param waitedMs time since the arrival of the request
  */
 export function resolveLatenessMs(
   query: PermitQuery,
-  { queueingMs, prefillMs: readMs, decodeMs }: LatencyEstimate,
-  passedMs = 0,
+  { queueingMs, prefillMs, decodeMs }: LatencyEstimate,
+  waitedMs = 0,
 ): number {
-  const firstTokenMs = passedMs + queueingMs + readMs;
+  const firstTokenMs = waitedMs + queueingMs + prefillMs;
   const endMs = firstTokenMs + decodeMs;
   return Math.max(firstTokenMs - query.firstTokenInMs, endMs - query.deadlineInMs);
 }
--- a/src/permits/team-queue.ts
+++ b/src/permits/team-queue.ts
@@ -1,14 +1,14 @@
 /**
- * The requests of one team that wait for the same servers: the most urgent priority first, within
- * it the earliest first-token time. Sums are kept by priority, so that the work ahead of a request
- * is known without a walk.
+ * The requests of one team within a subqueue, ordered by priority and then by first-token deadline.
+ * Work is summed by priority, so that the work ahead of a request is known without iterating.
  */
 import type { WaitingRequest } from './queue.js';
 import { createOrderedHeap, type OrderedHeap } from './ordered-heap.js';
 
-/** Work that waits. */
+/** Queued work. */
 export interface Backlog {
   requests: number;
+  /** Prompt tokens that need prefill. */
   promptTokens: number;
   outputTokens: number;
 }
@@ -19,17 +19,17 @@
   readonly weight: number;
   readonly heap: OrderedHeap<WaitingRequest>;
   add(waiting: WaitingRequest): void;
-  /** @returns whether it was there */
+  /** @returns whether the request was in the queue */
   remove(waiting: WaitingRequest): boolean;
-  /** Everything that waits, or only what is at least as urgent as a priority. */
+  /** Sum of the queued work, optionally only of requests at least as urgent as a priority. */
   backlog(priority?: number): Backlog;
 }
 
 /**
  * Creates an empty queue.
  *
- * @param team whose it is
- * @param weight the team's share in relation to other teams
+ * @param team name of the team
+ * @param weight the team's weight relative to other teams
  */
 export function createTeamQueue(team: string, weight: number): TeamQueue {
   const heap = createOrderedHeap(isSooner);
@@ -67,7 +67,7 @@
   };
 }
 
-/** A backlog of nothing. */
+/** Creates an empty backlog. */
 export function createBacklog(): Backlog {
   return { requests: 0, promptTokens: 0, outputTokens: 0 };
 }
@@ -75,9 +75,9 @@
 /**
  * Adds one backlog to another.
  *
- * @param sum the one to change
- * @param more what is added
- * @param share the part of it that is added, from 0 to 1
+ * @param sum the backlog to change
+ * @param more the backlog to add
+ * @param share fraction of `more` that is added, from 0 to 1
  */
 export function addBacklog(sum: Backlog, more: Backlog, share = 1): void {
   sum.requests += more.requests * share;
--- a/src/permits/wait-record.ts
+++ b/src/permits/wait-record.ts
@@ -1,50 +1,50 @@
 /**
- * How waits turned out against what was foretold, and how often permits end: both correct the next
- * forecast.
+ * Corrects latency estimates by the ratio of measured to estimated queueing delays, and measures
+ * the interval between releases of permits.
  */
 
-/** What is learned from waits. Times are milliseconds. */
+/** Measured queueing delays. Times are milliseconds. */
 export interface WaitRecord {
-  /** A request waited so long; where it was given up, it would have waited longer. */
-  observeWait(isLong: boolean, foretoldMs: number, waitedMs: number): void;
-  /** A permit ended. */
+  /** Records the queueing delay of a request; a lower bound if the request was refused. */
+  observeWait(isLong: boolean, estimatedMs: number, waitedMs: number): void;
   observeRelease(now: number): void;
-  /** Factor by which waits turned out longer than foretold. */
+  /** Ratio of measured to estimated queueing delays. */
   correction(isLong: boolean): number;
-  /** Time between two ends of permits; 0 until two were seen. */
+  /** Mean time between two releases; 0 before the second one. */
   releaseIntervalMs(): number;
 }
 
+/** Weight of the newest observation in the moving averages. */
 const NEWEST_WEIGHT = 0.05;
-/** Forecasts shorter than this teach nothing. */
-const LEAST_FORETOLD_MS = 20;
-const LEAST_CORRECTION = 0.25;
-const MOST_CORRECTION = 4;
-/** A longer pause between two ends says that there was nothing to do. */
-const LONGEST_TURN_MS = 1_000;
+/** Shorter estimates are not used for the correction. */
+const MIN_ESTIMATED_MS = 20;
+const MIN_CORRECTION = 0.25;
+const MAX_CORRECTION = 4;
+/** Cap on a release interval: longer ones mean that the shard was idle. */
+const MAX_INTERVAL_MS = 1_000;
 
-/** Creates a record of nothing. */
+/** Creates a record without observations. */
 export function createWaitRecord(): WaitRecord {
   const corrections = { short: 1, long: 1 };
-  let turnMs = 0;
-  let lastEnd: number | undefined;
+  let intervalMs = 0;
+  let lastReleaseAt: number | undefined;
 
   return {
-    observeWait(isLong, foretoldMs, waitedMs) {
-      if (foretoldMs < LEAST_FORETOLD_MS) return;
+    observeWait(isLong, estimatedMs, waitedMs) {
+      if (estimatedMs < MIN_ESTIMATED_MS) return;
       const kind = isLong ? 'long' : 'short';
-      const corrected = corrections[kind] * (waitedMs / foretoldMs);
-      const target = Math.min(MOST_CORRECTION, Math.max(LEAST_CORRECTION, corrected));
+      const corrected = corrections[kind] * (waitedMs / estimatedMs);
+      const target = Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, corrected));
       corrections[kind] += (target - corrections[kind]) * NEWEST_WEIGHT;
     },
     observeRelease(now) {
-      if (lastEnd !== undefined) {
-        const pauseMs = Math.min(LONGEST_TURN_MS, now - lastEnd);
-        turnMs += (pauseMs - turnMs) * NEWEST_WEIGHT;
+      if (lastReleaseAt !== undefined) {
+        const sinceLastMs = Math.min(MAX_INTERVAL_MS, now - lastReleaseAt);
+        intervalMs += (sinceLastMs - intervalMs) * NEWEST_WEIGHT;
       }
-      lastEnd = now;
+      lastReleaseAt = now;
     },
     correction: (isLong) => corrections[isLong ? 'long' : 'short'],
-    releaseIntervalMs: () => turnMs,
+    releaseIntervalMs: () => intervalMs,
   };
 }
--- a/test/permits/drive.ts
+++ b/test/permits/harness.ts
@@ -1,6 +1,6 @@
 /**
- * A shard holder and engines in one process on a fake clock, for tests of the decisions: requests
- * go through the holder to stand-in engines, and what became of each is kept.
+ * Runs a shard holder with stand-in engines in one process on a fake clock, and records the outcome
+ * of each request.
  */
 import { createMetrics } from '../../src/metrics/index.js';
 import type { PermitQuery, PermitRelease } from '../../src/links/index.js';
@@ -16,7 +16,7 @@
 import { createVm } from '../fixtures/configuration.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
-/** What became of a request. Times are milliseconds from its arrival. */
+/** Outcome of a request. Times are milliseconds from its arrival. */
 export interface Outcome {
   team: string;
   class: string;
@@ -29,25 +29,28 @@
   cachedTokens?: number;
 }
 
-/** What a test says of a request. */
-export interface Wanted extends Partial<PermitQuery> {
+/** Properties of a request that differ from the defaults. */
+export interface RequestInput extends Partial<PermitQuery> {
   prompt?: string;
-  /** Tokens of the answer. */
+  /** Output tokens. */
   tokens?: number;
 }
 
-/** Every mechanism as it is set by default. */
+/** The default settings of all mechanisms. */
 export const defaultDecisions: Decisions = settingsSchema.shape.decisions.parse({});
 
-/** What a drive is made of. */
-export interface DriveSetting {
+export interface HarnessOptions {
   engines: ModelEngineStandInSettings[];
   decisions?: Partial<Decisions>;
   maxQueue?: number;
 }
 
-/** Starts a holder with its engines, known to it and idle. */
-export function createDrive({ engines: settings, decisions = {}, maxQueue = 2_000 }: DriveSetting) {
+/** Creates a holder that has received the state of its idle engines. */
+export function createHarness({
+  engines: settings,
+  decisions = {},
+  maxQueue = 2_000,
+}: HarnessOptions) {
   const { clock, advance } = createFakeClock();
   const engines = new Map<string, Engine>();
   const outcomes: Outcome[] = [];
@@ -71,16 +74,16 @@
     engines.set(full.id, createEngine(full, clock, createHistory({ clock, limit: 1_000 })));
   }
   holder.setVms([...engines.keys()].map((id) => createVm({ id })));
-  look();
+  updateEngines();
 
-  /** The holder hears from each engine. */
-  function look(): void {
+  /** Passes the state of each engine to the holder. */
+  function updateEngines(): void {
     for (const engine of engines.values()) holder.updateEngine(engine.state());
   }
 
-  function createQuery(wanted: Wanted): PermitQuery {
-    const { tokens = 8, ...given } = wanted;
-    const prompt = resolvePrompt(wanted);
+  function createQuery(input: RequestInput): PermitQuery {
+    const { tokens = 8, ...given } = input;
+    const prompt = resolvePrompt(input);
     const promptTokens = countTokens(prompt);
     ids += 1;
     return {
@@ -108,18 +111,18 @@
     };
   }
 
-  /** Sends a request; its outcome fills as it goes on. */
-  function send(wanted: Wanted = {}): Outcome {
-    const query = createQuery(wanted);
+  /** Sends a request; the returned outcome is filled in as the request proceeds. */
+  function send(input: RequestInput = {}): Outcome {
+    const query = createQuery(input);
     const outcome: Outcome = { team: query.team, class: query.class };
     outcomes.push(outcome);
-    void run(query, wanted, outcome, clock.now());
+    void run(query, input, outcome, clock.now());
     return outcome;
   }
 
   async function run(
     query: PermitQuery,
-    wanted: Wanted,
+    input: RequestInput,
     outcome: Outcome,
     arrivedAt: number,
   ): Promise<void> {
@@ -161,14 +164,14 @@
     const request = {
       requestId: query.requestId,
       model: 'model',
-      prompt: resolvePrompt(wanted),
+      prompt: resolvePrompt(input),
       maxTokens: query.maxOutputTokens ?? 1,
       stream: true as const,
       priority: permit.enginePriority ?? 0,
       resumeFrom: 0,
       prefillOnly: false,
     };
-    const taken = engines.get(server)?.submit(request, {
+    const submitted = engines.get(server)?.submit(request, {
       onChunk(chunk) {
         outputTokens += 1;
         cachedTokens = chunk.usage?.cachedTokens ?? cachedTokens;
@@ -182,20 +185,20 @@
         release(ending === 'finished' ? 'answered' : 'cut');
       },
     });
-    if (taken?.isOk() === true) return;
+    if (submitted?.isOk() === true) return;
     outcome.refusal = 'refused-by-engine';
     release('refused');
   }
 
-  return { clock, advance, holder, engines, outcomes, look, createQuery, send };
+  return { clock, advance, holder, engines, outcomes, updateEngines, createQuery, send };
 }
 
-/** The stand-in answers with as many tokens as its prompt's mark says. */
-function resolvePrompt({ prompt = 'why', tokens = 8 }: Wanted): string {
+/** Appends the marker by which the stand-in engine is told its number of output tokens. */
+function resolvePrompt({ prompt = 'why', tokens = 8 }: RequestInput): string {
   return `${prompt} [[answer:${tokens}]]`;
 }
 
-/** A prompt of so many tokens that shares nothing with those of another seed. */
+/** Creates a prompt of a number of tokens without a common prefix with prompts of other seeds. */
 export function createPrompt(tokens: number, seed: number | string): string {
   const words: string[] = [];
   for (let index = 0; index < tokens; index += 1) words.push(`${seed}w${index}`);
--- a/test/permits/learning.test.ts
+++ b/test/permits/learning.test.ts
@@ -8,8 +8,8 @@
   createServerRates,
 } from '../../src/permits/index.js';
 
-describe('what a holder learns of a server', () => {
-  it('finds the line in measurements, and goes back to the assumed one without them', () => {
+describe('learned properties of servers and teams', () => {
+  it('fits a line to measurements and returns to the anchors without them', () => {
     const fit = createLineFit([
       { x: 0, y: 0 },
       { x: 100, y: 10 },
@@ -19,7 +19,7 @@
     expect(fit.valueAt(100, 300_000)).to.be.closeTo(10, 0.5);
   });
 
-  it('is not thrown off by one freak measurement', () => {
+  it('limits the effect of one outlier', () => {
     const rates = createServerRates();
     rates.setNominal({ prefillTokensPerSecond: 10_000, decodeTokensPerSecond: 50, maxBatch: 32 });
     for (let index = 0; index < 20; index += 1) rates.observeFirstToken(1_000, 100, index);
@@ -27,7 +27,7 @@
     expect(rates.firstTokenMs(1_000, 21)).to.be.within(90, 140);
   });
 
-  it('gives a failing server less, then nothing, then a probe after longer and longer pauses', () => {
+  it('lowers the limit of a failing server, ejects it and probes it with exponential backoff', () => {
     const health = createServerHealth();
     health.record('bad', 0);
     health.record('bad', 0);
@@ -42,13 +42,13 @@
     expect(health.limit(32, 1_500)).to.equal(32);
   });
 
-  it('takes many streams that break at once for one failure', () => {
+  it('ejects a server once for many streams that break at the same time', () => {
     const health = createServerHealth();
     for (let index = 0; index < 30; index += 1) health.record('bad', 0);
     expect(health.ejectedUntil()).to.equal(500);
   });
 
-  it('assumes a class until a team is known, and what is configured until the class is', () => {
+  it('estimates output from the class for an unknown team and from the fallback for an unknown class', () => {
     const estimate = createOutputEstimate();
     expect(estimate.estimate({ team: 'a', class: 'verdict' }, 128)).to.equal(128);
     estimate.observe({ team: 'a', class: 'verdict' }, 24);
@@ -57,7 +57,7 @@
     expect(estimate.estimate({ team: 'b', class: 'other' }, 128)).to.equal(128);
   });
 
-  it('knows who is beyond its share, by weight and while others are served', () => {
+  it('detects a team beyond its weighted share only while other teams are served', () => {
     const use = createRecentUse();
     use.add({ team: 'large', weight: 4, tokens: 100_000 }, 0);
     expect(use.isBeyondShare('large', 0)).to.equal(false);
@@ -69,7 +69,7 @@
     expect(use.isBeyondShare('large', 10 * 60_000)).to.equal(false);
   });
 
-  it('takes a team for beyond its share by a fraction of a large share, not for one burst', () => {
+  it('tolerates one burst, but not a team that exceeds a large share by a fraction of it', () => {
     const use = createRecentUse();
     for (const team of ['a', 'b', 'c', 'd']) use.add({ team, weight: 1, tokens: 10_000 }, 0);
     use.add({ team: 'burst', weight: 1, tokens: 32_000 }, 0);
@@ -78,7 +78,7 @@
     expect(use.isBeyondShare('large', 0)).to.equal(true);
   });
 
-  it('forgets the prefixes that an engine says it removed', () => {
+  it('drops the prefixes that an engine reports as removed', () => {
     const index = createPrefixIndex();
     index.add(['a', 'b', 'c']);
     index.remove(['c']);
--- a/test/permits/queue.test.ts
+++ b/test/permits/queue.test.ts
@@ -10,7 +10,7 @@
 } from '../../src/permits/index.js';
 import type { PermitQuery } from '../../src/links/index.js';
 
-const noLanes: ReadonlySet<Subqueue> = new Set();
+const noSubqueues: ReadonlySet<Subqueue> = new Set();
 
 function createQueue(isFair = true) {
   const share = createFairShare();
@@ -60,7 +60,7 @@
 }
 
 describe('the queue of a shard', () => {
-  it('gives two teams that always wait service by their weights, within a band, a credit and a request', () => {
+  it('serves two backlogged teams by weight, within one band, one idle credit and one request', () => {
     const teams = fc.record({
       weights: fc.tuple(fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 5 })),
       priorities: fc.tuple(fc.integer({ min: 0, max: 9 }), fc.integer({ min: 0, max: 9 })),
@@ -79,7 +79,7 @@
         add(0, 100);
         add(1, 100);
         for (const size of sizes) {
-          const waiting = queue.first(noLanes)?.waiting;
+          const waiting = queue.first(noSubqueues)?.waiting;
           if (waiting === undefined) throw new Error('nobody waits');
           const { team, weight, promptTokens: tokens } = waiting.query;
           const index = team === 'team-0' ? 0 : 1;
@@ -94,29 +94,29 @@
     );
   });
 
-  it('takes requests of teams beyond their share last, however little these were served', () => {
+  it('orders requests of teams beyond their share last, even if those teams were served less', () => {
     const { queue, share } = createQueue();
     const beyond = createWaiting({ team: 'large', priority: 0 }, { isBeyondShare: true });
     const within = createWaiting({ team: 'small', priority: 3 });
     queue.add(beyond);
     queue.add(within);
     share.charge({ team: 'small', weight: 1, tokens: FAIR_BAND_TOKENS * 3 });
-    expect(queue.first(noLanes)?.waiting).to.equal(within);
+    expect(queue.first(noSubqueues)?.waiting).to.equal(within);
     queue.remove(within);
-    expect(queue.first(noLanes)?.waiting).to.equal(beyond);
+    expect(queue.first(noSubqueues)?.waiting).to.equal(beyond);
   });
 
-  it('lets priority decide between teams that differ by less than a band', () => {
+  it('orders teams in the same band by priority', () => {
     const { queue } = createQueue();
     queue.charge({ team: 'large', weight: 1, tokens: 10 });
     const later = createWaiting({ team: 'small', priority: 3 });
     const sooner = createWaiting({ team: 'large', priority: 1 });
     queue.add(later);
     queue.add(sooner);
-    expect(queue.first(noLanes)?.waiting).to.equal(sooner);
+    expect(queue.first(noSubqueues)?.waiting).to.equal(sooner);
   });
 
-  it('puts a team that was idle ahead of the least served one by no more than its credit', () => {
+  it('limits the credit of a team that was idle', () => {
     const { queue, share } = createQueue();
     queue.add(createWaiting({ team: 'large' }));
     queue.charge({ team: 'large', weight: 1, tokens: 50_000 });
@@ -125,7 +125,7 @@
     expect(share.served('large') - share.served('small')).to.equal(IDLE_CREDIT_TOKENS);
   });
 
-  it('orders a team by priority, then by first-token time', () => {
+  it('orders the requests of a team by priority, then by first-token deadline', () => {
     const { queue } = createQueue();
     const last = createWaiting({ priority: 3 }, { firstTokenDeadline: 1 });
     const second = createWaiting({}, { firstTokenDeadline: 900 });
@@ -133,7 +133,7 @@
     for (const waiting of [last, second, first]) queue.add(waiting);
     const order: (WaitingRequest | undefined)[] = [];
     for (let turn = 0; turn < 3; turn += 1) {
-      const waiting = queue.first(noLanes)?.waiting;
+      const waiting = queue.first(noSubqueues)?.waiting;
       order.push(waiting);
       if (waiting !== undefined) queue.remove(waiting);
     }
@@ -141,7 +141,7 @@
     expect(queue.size()).to.equal(0);
   });
 
-  it('finds a wish by its name, and a request whose latest start has passed', () => {
+  it('finds a request by its key, and a request whose latest grant time has passed', () => {
     const { queue } = createQueue();
     const waiting = createWaiting({ requestId: 'named' }, { latestGrantAt: 500 });
     queue.add(createWaiting({}, { latestGrantAt: 700 }));
@@ -152,13 +152,13 @@
     expect(queue.expired(500)).to.equal(waiting);
   });
 
-  it('looks past a lane that found no room', () => {
+  it('skips excluded subqueues', () => {
     const { queue } = createQueue();
     const long = createWaiting({ priority: 0 }, { isLong: true });
     const short = createWaiting({ priority: 5 });
     queue.add(long);
     queue.add(short);
-    const head = queue.first(noLanes);
+    const head = queue.first(noSubqueues);
     expect(head?.waiting).to.equal(long);
     if (head === undefined) return;
     expect(queue.first(new Set([head.subqueue]))?.waiting).to.equal(short);
--- a/test/permits/roles.test.ts
+++ b/test/permits/roles.test.ts
@@ -3,7 +3,7 @@
 import { createUnknownOutcome } from '../../src/errors/index.js';
 import type { EngineChunk, EngineRequest, ModelEngine } from '../../src/ports/index.js';
 import { handOver } from '../../src/router/handover.js';
-import { createDrive } from './drive.js';
+import { createHarness } from './harness.js';
 
 const failure = createUnknownOutcome({
   code: 'backend-server-failed',
@@ -23,15 +23,15 @@
   prefillOnly: false,
 };
 
-/** An engine that records what it is asked, and reads prompts to their end or not. */
-function createFakeEngine(id: string, calls: string[], readsToEnd = true, exports = true) {
+/** Creates an engine that records its calls; prefill and export can be made to fail. */
+function createFakeEngine(id: string, calls: string[], finishesPrefill = true, exports = true) {
   const last: EngineChunk = { requestId: 'request-1', index: 0, text: '', finishReason: 'stop' };
   const engine: Pick<ModelEngine, 'id' | 'generate' | 'exportKv' | 'importKv'> = {
     id,
     async *generate(asked) {
       calls.push(`${id} ${asked.prefillOnly ? 'reads' : 'generates'}`);
       await Promise.resolve();
-      if (readsToEnd) yield Ok(last);
+      if (finishesPrefill) yield Ok(last);
     },
     exportKv(requestId) {
       calls.push(`${id} exports ${requestId}`);
@@ -45,9 +45,9 @@
   return engine as ModelEngine;
 }
 
-async function hand(readsToEnd: boolean, exports: boolean) {
+async function runHandover(finishesPrefill: boolean, exports: boolean) {
   const calls: string[] = [];
-  const from = createFakeEngine('reader', calls, readsToEnd, exports);
+  const from = createFakeEngine('reader', calls, finishesPrefill, exports);
   const to = createFakeEngine('writer', calls);
   const watch = { read: () => calls.push('read') };
   const handed = await handOver({ from, to, request }, new AbortController().signal, watch);
@@ -55,44 +55,44 @@
 }
 
 describe('engines with roles', () => {
-  it('are given one request together: one to read it, the other to generate', async () => {
-    const drive = createDrive({
+  it('share one request: one engine prefills, the other one decodes', async () => {
+    const harness = createHarness({
       engines: [
         { id: 'reader', role: 'prefill' },
         { id: 'writer', role: 'decode' },
       ],
     });
-    const answer = await drive.holder.ask('entry-1', drive.createQuery({}));
+    const answer = await harness.holder.ask('entry-1', harness.createQuery({}));
     if (answer.kind !== 'permit.granted') throw new Error(answer.failure.message);
     const { permit } = answer;
     expect([permit.server, permit.prefill?.server]).to.deep.equal(['writer', 'reader']);
-    const out = () => drive.holder.servers().map(({ permits }) => permits.size);
+    const out = () => harness.holder.servers().map(({ permits }) => permits.size);
     expect(out()).to.deep.equal([1, 1]);
     const { shard, permitId, server } = permit;
     const progress = { shard, permitId, server, firstTokenMs: 20, prefillMs: 12 };
-    drive.holder.progress({ kind: 'permit.progress', ...progress });
+    harness.holder.progress({ kind: 'permit.progress', ...progress });
     expect(out()).to.deep.equal([0, 1]);
   });
 
-  it('serve nothing when only one of the two roles is there, or handover is off', async () => {
+  it('serve nothing if one of the two roles is missing or handover is disabled', async () => {
     for (const role of ['prefill', 'decode'] as const) {
-      const drive = createDrive({ engines: [{ id: 'one', role }] });
-      const outcome = drive.send();
-      await drive.advance(0);
+      const harness = createHarness({ engines: [{ id: 'one', role }] });
+      const outcome = harness.send();
+      await harness.advance(0);
       expect(outcome.refusal).to.equal('no-backend-server');
     }
     const engines = [
       { id: 'reader', role: 'prefill' as const },
       { id: 'writer', role: 'decode' as const },
     ];
-    const drive = createDrive({ engines, decisions: { handover: false } });
-    const outcome = drive.send();
-    await drive.advance(0);
+    const harness = createHarness({ engines, decisions: { handover: false } });
+    const outcome = harness.send();
+    await harness.advance(0);
     expect(outcome.refusal).to.equal('no-backend-server');
   });
 
-  it('hand a KV cache over once the prompt has been read', async () => {
-    const { calls, handed } = await hand(true, true);
+  it('hand over the KV cache after the prefill', async () => {
+    const { calls, handed } = await runHandover(true, true);
     expect(handed.unwrapOr('')).to.equal('kv-1');
     expect(calls).to.deep.equal([
       'reader reads',
@@ -102,11 +102,11 @@
     ]);
   });
 
-  it('say so when the prompt was not read to its end or its KV cache is gone', async () => {
-    const unread = await hand(false, true);
-    expect(unread.handed.isErr() && unread.handed.error.code).to.equal('answer-incomplete');
-    expect(unread.calls).to.deep.equal(['reader reads']);
-    const gone = await hand(true, false);
+  it('report a failure if the prefill was incomplete or the KV cache is gone', async () => {
+    const incomplete = await runHandover(false, true);
+    expect(incomplete.handed.isErr() && incomplete.handed.error.code).to.equal('answer-incomplete');
+    expect(incomplete.calls).to.deep.equal(['reader reads']);
+    const gone = await runHandover(true, false);
     expect(gone.handed.isErr()).to.equal(true);
     expect(gone.calls).to.not.include('writer imports kv-1');
   });
--- a/test/planner/planner.test.ts
+++ b/test/planner/planner.test.ts
@@ -15,7 +15,7 @@
 } from '../../src/planner/index.js';
 import { engineGroupSchema } from '../../src/configuration/objects.js';
 import { Ok } from 'ts-results-es';
-import { createDrive } from '../permits/drive.js';
+import { createHarness } from '../permits/harness.js';
 import type { Role } from '../../src/ports/index.js';
 
 const rates = { promptTokensPerSecond: 12_000, outputTokensPerSecond: 2_000, mixedEfficiency: 1 };
@@ -155,7 +155,7 @@
   });
 
   it('reads demand over a horizon by class, refused requests included', async () => {
-    const drive = createDrive({ engines: [{ id: 'manual-1' }] });
+    const drive = createHarness({ engines: [{ id: 'manual-1' }] });
     for (let second = 0; second < 10; second += 1) {
       drive.send({ class: 'verdict', firstTokenInMs: -1, promptTokens: 500, tokens: 20 });
       await drive.advance(1_000);
@@ -170,7 +170,7 @@
       id,
       role: id === 'manual-1' ? ('prefill' as const) : ('decode' as const),
     }));
-    const drive = createDrive({ engines });
+    const drive = createHarness({ engines });
     const asked: string[] = [];
     const planning = createRolePlanning({
       clock: drive.clock,
--- a/test/shards/leaving.test.ts
+++ b/test/shards/leaving.test.ts
@@ -18,7 +18,7 @@
 import { createFakeClock } from '../fixtures/fake-clock.js';
 import { createFakeEngine } from '../fixtures/fake-engine.js';
 import { createMemoryTable } from '../fixtures/memory-table.js';
-import { defaultDecisions } from '../permits/drive.js';
+import { defaultDecisions } from '../permits/harness.js';
 
 const LIMIT_MS = 3_000;
 const SLOW_MS = 900;
