--- a/src/permits/admission.ts
+++ b/src/permits/admission.ts
@@ -1,85 +1,93 @@
 /**
- * When a request's first token may be expected, from the work that goes before it, the servers'
- * learned rates and the fair share of its team. Another team's queue counts only as far as that
- * team's turns come first, so a large team's queue takes a small team's chance from it by no more
- * than its share.
+ * Estimates the latency of a request from the work queued ahead of it, the learned rates of the
+ * servers and the fair share of its team. Of another team's queue, only the part that fair queueing
+ * serves first counts, so a long queue of one team does not cause refusals of other teams.
  */
 import type { PermitQuery } from '../links/index.js';
-import { resolveUsualBatch, resolveWorkMs } from './capacity.js';
+import { resolveTypicalBatch, resolveWorkMs } from './capacity.js';
 import type { FairShare } from './fair-share.js';
-import type { Lane } from './queue.js';
+import type { Subqueue } from './queue.js';
 import { hasRoom, type RoomTerms } from './room.js';
 import {
   resolveOutputWeight,
-  tokensAhead,
-  tokensUncached,
-  type Guest,
+  countPrefillQueueTokens,
+  countUncachedTokens,
+  type ClassifiedRequest,
   type Server,
 } from './server.js';
 import { addBacklog, createBacklog, type Backlog, type TeamQueue } from './team-queue.js';
 
-/** When things may be expected, in milliseconds from now. */
-export interface Forecast {
-  /** Until a permit. */
-  waitMs: number;
+/** Estimated times of a request, in milliseconds. */
+export interface LatencyEstimate {
+  /** Queueing delay until the permit is granted. */
+  queueingMs: number;
   /** From the permit to the first token. */
-  readMs: number;
+  prefillMs: number;
   /** From the first token to the end. */
-  writeMs: number;
+  decodeMs: number;
 }
 
-/** A lane, as far as it waits for the servers of a forecast. */
-export interface LanePart {
-  lane: Lane;
+/** A subqueue and the fraction of its work that falls to the servers of an estimate. */
+export interface SubqueuePart {
+  subqueue: Subqueue;
   /** From 0 to 1. */
   part: number;
 }
 
-/** What a forecast is made from. */
-export interface ForecastInput {
-  guest: Guest;
-  /** The servers that can serve the request, with room or without. */
+/** Input of an estimate. */
+export interface LatencyEstimateInput {
+  request: ClassifiedRequest;
+  /** The servers that can serve the request, whether or not they have room. */
   candidates: readonly Server[];
-  /** The lanes of requests for the same servers. */
-  lanes: readonly LanePart[];
+  /** The subqueues that compete for the same servers. */
+  subqueues: readonly SubqueuePart[];
   share: FairShare;
   isFair: boolean;
-  /** Factor by which waits turned out longer than foretold. */
+  /** Ratio of measured to estimated queueing delays. */
   correction: number;
-  /** Time between two permits that end, where it is known. */
-  turnMs: number;
+  /** Mean time between two releases of permits; 0 if unknown. */
+  releaseIntervalMs: number;
   now: number;
   terms: RoomTerms;
 }
 
 /**
- * Foretells a request's times.
+ * Estimates the latency of a request.
  *
- * @param input the request, the servers and what waits
+ * @param input the request, the servers and the queued work
  */
-export function resolveForecast(input: ForecastInput): Forecast {
-  const { guest, candidates, now } = input;
-  const readMs = resolveReadMs(guest, candidates, now);
-  const writeMs = resolveWriteMs(input);
-  // What stands in other lanes found no room, or it would not stand there.
-  const before = resolveAhead(input, isOwnLane);
-  if (before.requests === 0 && hasAnyRoom(input)) return { waitMs: 0, readMs, writeMs };
+export function estimateLatency(input: LatencyEstimateInput): LatencyEstimate {
+  const { request, candidates, now } = input;
+  const prefillMs = resolvePrefillMs(request, candidates, now);
+  const decodeMs = resolveDecodeMs(input);
+  // Requests in other subqueues did not find room, so they do not keep this one from its room.
+  const before = resolveAhead(input, isOwnSubqueue);
+  if (before.requests === 0 && hasAnyRoom(input)) return { queueingMs: 0, prefillMs, decodeMs };
   const ahead = resolveAhead(input, isCompeting);
   const work = resolveWorkMs(candidates, ahead, now, input.terms);
-  return { waitMs: work * input.correction + input.turnMs, readMs, writeMs };
+  return {
+    queueingMs: work * input.correction + input.releaseIntervalMs,
+    prefillMs,
+    decodeMs,
+  };
 }
 
 /**
  * Least time from a permit to the first token on any of the servers, in milliseconds.
  *
- * @param guest the request
+ * @param request the request
  * @param candidates the servers
  * @param now the time on the holder's clock
  */
-export function resolveReadMs(guest: Guest, candidates: readonly Server[], now: number): number {
+export function resolvePrefillMs(
+  request: ClassifiedRequest,
+  candidates: readonly Server[],
+  now: number,
+): number {
   let least = Number.POSITIVE_INFINITY;
   for (const server of candidates) {
-    const tokens = tokensAhead(server, guest.isLong) + tokensUncached(server, guest.query);
+    const tokens =
+      countPrefillQueueTokens(server, request.isLong) + countUncachedTokens(server, request.query);
     const { rates, vm } = server;
     const callMs = vm.kind === 'plain-service' ? rates.callMs(now) : 0;
     least = Math.min(least, rates.firstTokenMs(tokens, now) + callMs);
@@ -87,51 +95,51 @@
   return least;
 }
 
-function resolveWriteMs({ guest, candidates, now, terms }: ForecastInput): number {
+function resolveDecodeMs({ request, candidates, now, terms }: LatencyEstimateInput): number {
   let least = Number.POSITIVE_INFINITY;
   for (const server of candidates) {
-    const batch = resolveUsualBatch(server, now, terms);
+    const batch = resolveTypicalBatch(server, now, terms);
     least = Math.min(least, server.rates.stepMs(batch, now));
   }
-  return guest.query.expectedOutputTokens * least;
+  return request.query.expectedOutputTokens * least;
 }
 
-function hasAnyRoom({ guest, candidates, now, terms }: ForecastInput): boolean {
+function hasAnyRoom({ request, candidates, now, terms }: LatencyEstimateInput): boolean {
   for (const server of candidates) {
-    if (hasRoom(server, guest, now, terms)) return true;
+    if (hasRoom(server, request, now, terms)) return true;
   }
   return false;
 }
 
-/** Whether a request would stand in a lane. */
-function isOwnLane(guest: Guest, lane: Lane): boolean {
-  return lane.isLong === guest.isLong && lane.isBeyondShare === guest.isBeyondShare;
+/** Whether a request would be added to a subqueue. */
+function isOwnSubqueue(request: ClassifiedRequest, subqueue: Subqueue): boolean {
+  return subqueue.isLong === request.isLong && subqueue.isBeyondShare === request.isBeyondShare;
 }
 
-/** Short prompts pass long ones by, and teams within their share those beyond it. */
-function isCompeting(guest: Guest, lane: Lane): boolean {
-  if (lane.isBeyondShare && !guest.isBeyondShare) return false;
-  return guest.isLong || !lane.isLong;
+/** Short prompts overtake long ones, and teams within their share overtake those beyond it. */
+function isCompeting(request: ClassifiedRequest, subqueue: Subqueue): boolean {
+  if (subqueue.isBeyondShare && !request.isBeyondShare) return false;
+  return request.isLong || !subqueue.isLong;
 }
 
-/** Work whose turn comes before the request's, in the lanes that count. */
+/** Work that is served before the request, in the subqueues that `counts` selects. */
 function resolveAhead(
-  input: ForecastInput,
-  counts: (guest: Guest, lane: Lane) => boolean,
+  input: LatencyEstimateInput,
+  counts: (request: ClassifiedRequest, subqueue: Subqueue) => boolean,
 ): Backlog {
-  const { guest, share } = input;
-  const { query } = guest;
-  const lanes = input.lanes.filter(({ lane }) => counts(guest, lane));
+  const { request, share } = input;
+  const { query } = request;
+  const subqueues = input.subqueues.filter(({ subqueue }) => counts(request, subqueue));
   const ahead = createBacklog();
-  for (const { lane, part } of lanes) {
-    const queue = lane.teams.get(query.team);
+  for (const { subqueue, part } of subqueues) {
+    const queue = subqueue.teams.get(query.team);
     if (queue !== undefined) addBacklog(ahead, queue.backlog(query.priority), part);
   }
   const outputWeight = resolveLeastOutputWeight(input.candidates);
   const own = tokensOf(ahead, outputWeight) + tokensOfQuery(query, outputWeight);
   const finish = share.served(query.team) + own / query.weight;
-  for (const { lane, part } of lanes) {
-    for (const queue of lane.teams.values()) {
+  for (const { subqueue, part } of subqueues) {
+    for (const queue of subqueue.teams.values()) {
       if (queue.team === query.team) continue;
       const before = input.isFair ? shareBefore(queue, share, finish, outputWeight) : 1;
       const others = input.isFair ? queue.backlog() : queue.backlog(query.priority);
@@ -141,7 +149,7 @@
   return ahead;
 }
 
-/** The part of another team's queue that is served until this team's turn has come. */
+/** Fraction of another team's queue that is served before this team's service reaches `finish`. */
 function shareBefore(
   queue: TeamQueue,
   share: FairShare,
@@ -160,7 +168,7 @@
   return Number.isFinite(least) ? least : 1;
 }
 
-/** Work in prompt tokens to read. */
+/** Work of a backlog in prefill tokens. */
 function tokensOf({ promptTokens, outputTokens }: Backlog, outputWeight: number): number {
   return promptTokens + outputTokens * outputWeight;
 }
--- a/src/permits/feedback.ts
+++ b/src/permits/feedback.ts
@@ -1,65 +1,64 @@
 /**
- * What the holder learns when a first token came and when a permit ended: the server's rates and its
- * health.
+ * Updates the learned rates and the health of a server from first tokens and released permits.
  */
 import type { PermitProgress, PermitRelease } from '../links/index.js';
 import type { LineFit } from './line-fit.js';
-import type { Verdict } from './server-health.js';
+import type { HealthSample } from './server-health.js';
 import { resolveOutputWeight, type GrantedPermit, type Server } from './server.js';
 
-/** A first token is slow when it took this many times as long as expected, and longer than `SLOW_MS`. */
+/** A first token is slow if it took this many times as long as expected, and longer than `SLOW_MS`. */
 const SLOW_FACTOR = 4;
 const SLOW_MS = 1_000;
 
 /**
- * Takes in that a permit's first token came. Only now is its prompt in the server's cache: another
- * request with the same text that came to the server earlier would read all of it again.
+ * Records the first token of a permit. The prompt counts as cached only from now on: a request with
+ * the same prefix that reaches the server during the prefill has to compute all of it again.
  *
- * @param server the server that read the prompt
+ * @param server the server that ran the prefill
  * @param permit the permit
  * @param firstTokenMs time from the call to the first token
  * @param now the time on the holder's clock
  */
-export function learnFirstToken(
+export function recordFirstToken(
   server: Server,
   permit: GrantedPermit,
   firstTokenMs: number,
   now: number,
 ): void {
-  const { reading } = permit;
-  if (reading === undefined) return;
-  server.prefixes.add(reading.prefixes);
-  server.rates.observeFirstToken(reading.tokensAhead, firstTokenMs, now);
-  if (!reading.isOverdue && isSlow(firstTokenMs, reading.expectedMs))
-    server.health.note('bad', now);
-  permit.reading = undefined;
-  server.readers.delete(permit.permitId);
+  const { pendingPrefill } = permit;
+  if (pendingPrefill === undefined) return;
+  server.prefixes.add(pendingPrefill.prefixes);
+  server.rates.observeFirstToken(pendingPrefill.tokensToFirstToken, firstTokenMs, now);
+  if (!pendingPrefill.isCountedAsSlow && isSlow(firstTokenMs, pendingPrefill.expectedMs))
+    server.health.record('bad', now);
+  permit.pendingPrefill = undefined;
+  server.prefilling.delete(permit.permitId);
 }
 
 /**
- * Counts permits whose first token should have come long ago against their server, once each.
+ * Records permits whose first token is overdue as failures of their server, once for each permit.
  *
- * @param server the server to look at
+ * @param server the server to check
  * @param now the time on the holder's clock
  */
-export function learnOverdue(server: Server, now: number): void {
-  for (const { reading, grantedAt } of server.readers.values()) {
-    if (reading === undefined || reading.isOverdue) continue;
-    if (!isSlow(now - grantedAt, reading.expectedMs)) continue;
-    reading.isOverdue = true;
-    server.health.note('bad', now);
+export function recordOverdue(server: Server, now: number): void {
+  for (const { pendingPrefill, grantedAt } of server.prefilling.values()) {
+    if (pendingPrefill === undefined || pendingPrefill.isCountedAsSlow) continue;
+    if (!isSlow(now - grantedAt, pendingPrefill.expectedMs)) continue;
+    pendingPrefill.isCountedAsSlow = true;
+    server.health.record('bad', now);
   }
 }
 
 /**
- * Takes in how long a handover took beyond the reading of the prompt.
+ * Records the time of a KV cache handover, which is the time to first token less the prefill time.
  *
- * @param handoverMs the line to teach
+ * @param handoverMs the fit to update
  * @param permit the permit
- * @param progress the router's word on its first token
+ * @param progress the router's report of the first token
  * @param now the time on the holder's clock
  */
-export function learnHandover(
+export function recordHandover(
   handoverMs: LineFit,
   permit: GrantedPermit,
   progress: PermitProgress,
@@ -71,37 +70,37 @@
 }
 
 /**
- * Takes in the end of a permit that was counted until now.
+ * Records the release of a permit; to be called before the permit is removed from its server.
  *
- * @param server its server
+ * @param server the permit's server
  * @param permit the permit
- * @param release the router's word on its end
+ * @param release the router's report
  * @param now the time on the holder's clock
  */
-export function learnRelease(
+export function recordRelease(
   server: Server,
   permit: GrantedPermit,
   release: PermitRelease,
   now: number,
 ): void {
   const { firstTokenMs } = release;
-  if (firstTokenMs !== undefined) learnFirstToken(server, permit, firstTokenMs, now);
-  const verdict = resolveVerdict(release.result);
-  if (verdict !== undefined) server.health.note(verdict, now);
+  if (firstTokenMs !== undefined) recordFirstToken(server, permit, firstTokenMs, now);
+  const sample = resolveHealthSample(release.result);
+  if (sample !== undefined) server.health.record(sample, now);
   if (release.result !== 'answered') return;
   if (server.vm.kind === 'plain-service') {
     server.rates.observeCall(release.totalMs, now);
     return;
   }
-  learnStep(server, permit, release, now);
+  recordDecodeStep(server, permit, release, now);
 }
 
 /**
- * Work that a permit really was, in prompt tokens to read. Places for answers are what a busy engine
- * lacks first, so a token of an answer counts by the time that it costs.
+ * Returns the work of a released permit in prefill tokens. Output tokens are weighted by their
+ * decode time.
  *
- * @param release the router's word on its end
- * @param server its server
+ * @param release the router's report
+ * @param server the permit's server
  */
 export function resolveServedTokens(release: PermitRelease, server: Server): number {
   if (release.result === 'refused') return 0;
@@ -109,7 +108,7 @@
   return promptTokens - cachedTokens + outputTokens * resolveOutputWeight(server);
 }
 
-function learnStep(
+function recordDecodeStep(
   server: Server,
   permit: GrantedPermit,
   release: PermitRelease,
@@ -121,7 +120,7 @@
   server.rates.observeStep(batch, ms, now);
 }
 
-function resolveVerdict(result: PermitRelease['result']): Verdict | undefined {
+function resolveHealthSample(result: PermitRelease['result']): HealthSample | undefined {
   if (result === 'cancelled') return undefined;
   return result === 'answered' ? 'good' : 'bad';
 }
--- a/src/permits/granting.ts
+++ b/src/permits/granting.ts
@@ -1,66 +1,70 @@
 /**
- * What a holder writes down, and what it tells the router, when it grants a permit.
+ * Creates the permit that is sent to the router and the holder's own record of it.
  */
 import type { Permit } from '../links/index.js';
-import type { Chosen } from './choice.js';
+import type { ServerChoice } from './choice.js';
 import { resolveEnginePriority } from './engine-priority.js';
-import type { Waiting } from './queue.js';
+import type { WaitingRequest } from './queue.js';
 import {
   resolveOutputWeight,
-  tokensAhead,
-  tokensUncached,
+  countPrefillQueueTokens,
+  countUncachedTokens,
   type GrantedPermit,
-  type Reading,
+  type PendingPrefill,
   type Server,
 } from './server.js';
 
-/** Who grants, and under which number. */
+/** Identity and circumstances of a grant. */
 export interface GrantTerms {
   permitId: string;
   shard: string;
   fence: number;
   now: number;
-  /** Whether the team has had more than its share. */
+  /** Whether the team exceeds its fair share. */
   isBeyondShare: boolean;
 }
 
-/** A grant, as it is written down on both servers and told to the router. */
+/** A granted permit with its records. */
 export interface Grant {
   permit: Permit;
-  /** The permit on the server that generates. */
+  /** The record on the server that decodes. */
   granted: GrantedPermit;
-  /** The permit on the server that reads the prompt, when it is another. */
+  /** The record on the server that prefills, if it is a different one. */
   prefill: GrantedPermit | undefined;
 }
 
 /**
- * Makes a grant.
+ * Creates a grant.
  *
- * @param waiting the request whose turn it is
- * @param chosen where it goes
- * @param terms who grants
+ * @param waiting the request
+ * @param choice the servers choice for it
+ * @param terms identity and circumstances of the grant
  */
-export function createGrant(waiting: Waiting, chosen: Chosen, terms: GrantTerms): Grant {
-  const { server, prefill } = chosen;
-  const permit = createPermit(waiting, chosen, terms);
+export function createGrant(
+  waiting: WaitingRequest,
+  choice: ServerChoice,
+  terms: GrantTerms,
+): Grant {
+  const { server, prefill } = choice;
+  const permit = createPermit(waiting, choice, terms);
   if (prefill === undefined) {
-    const granted = createGranted(waiting, server, terms);
+    const granted = createGrantedPermit(waiting, server, terms);
     return { permit, granted, prefill: undefined };
   }
-  const reader = createGranted(waiting, prefill, terms);
-  reader.permitId = resolvePrefillId(terms.permitId);
-  reader.outputTokens = 0;
-  const granted = createGranted(waiting, server, terms);
-  granted.reading = undefined;
-  granted.charged = reader.charged;
+  const prefillGranted = createGrantedPermit(waiting, prefill, terms);
+  prefillGranted.permitId = resolvePrefillId(terms.permitId);
+  prefillGranted.outputTokens = 0;
+  const granted = createGrantedPermit(waiting, server, terms);
+  granted.pendingPrefill = undefined;
+  granted.charged = prefillGranted.charged;
   granted.prefillServer = prefill.vm.id;
-  return { permit, granted, prefill: reader };
+  return { permit, granted, prefill: prefillGranted };
 }
 
 const PREFILL_SUFFIX = '/prefill';
 
 /**
- * The id under which the reading of a prompt on another server is counted.
+ * Returns the id of the record on a separate prefill server.
  *
  * @param permitId id of the permit
  */
@@ -69,15 +73,19 @@
 }
 
 /**
- * The id of the permit that an entry of a tally belongs to.
+ * Returns the id of the permit that a record belongs to.
  *
- * @param id a permit's id, or one that `resolvePrefillId` made
+ * @param id id of a permit, or an id from `resolvePrefillId`
  */
 export function resolvePermitId(id: string): string {
   return id.endsWith(PREFILL_SUFFIX) ? id.slice(0, -PREFILL_SUFFIX.length) : id;
 }
 
-function createPermit(waiting: Waiting, { server, prefill }: Chosen, terms: GrantTerms): Permit {
+function createPermit(
+  waiting: WaitingRequest,
+  { server, prefill }: ServerChoice,
+  terms: GrantTerms,
+): Permit {
   const { query, isLong } = waiting;
   const { permitId, shard, fence, isBeyondShare } = terms;
   const { priority } = query;
@@ -87,16 +95,20 @@
     fence,
     server: server.vm.id,
     address: server.vm.address,
-    waitedMs: terms.now - waiting.since,
+    waitedMs: terms.now - waiting.arrivedAt,
     enginePriority: resolveEnginePriority({ priority, isBeyondShare, isLong }),
   };
   if (prefill === undefined) return permit;
   return { ...permit, prefill: { server: prefill.vm.id, address: prefill.vm.address } };
 }
 
-function createGranted(waiting: Waiting, server: Server, terms: GrantTerms): GrantedPermit {
+function createGrantedPermit(
+  waiting: WaitingRequest,
+  server: Server,
+  terms: GrantTerms,
+): GrantedPermit {
   const { query, isLong } = waiting;
-  const tokens = tokensUncached(server, query);
+  const uncachedTokens = countUncachedTokens(server, query);
   return {
     permitId: terms.permitId,
     requestId: query.requestId,
@@ -107,31 +119,38 @@
     weight: query.weight,
     promptTokens: query.promptTokens,
     outputTokens: query.expectedOutputTokens,
-    charged: tokens + query.expectedOutputTokens * resolveOutputWeight(server),
+    charged: uncachedTokens + query.expectedOutputTokens * resolveOutputWeight(server),
     isFirstAttempt: query.attempt === 1,
     isLong,
     betweenTokensMs: query.betweenTokensMs ?? Number.POSITIVE_INFINITY,
     batch: server.permits.size + 1,
     prefillServer: undefined,
     grantedAt: terms.now,
-    reading: createReading(waiting, server, tokens, terms.now),
+    pendingPrefill: createPendingPrefill(waiting, server, uncachedTokens, terms.now),
   };
 }
 
-function createReading(
-  { query, isLong, firstTokenBy }: Waiting,
+function createPendingPrefill(
+  { query, isLong, firstTokenDeadline }: WaitingRequest,
   server: Server,
-  tokens: number,
+  uncachedTokens: number,
   now: number,
-): Reading | undefined {
+): PendingPrefill | undefined {
   if (server.vm.kind === 'plain-service') return undefined;
-  const ahead = tokensAhead(server, isLong) + tokens;
-  const expectedMs = server.rates.firstTokenMs(ahead, now);
+  const tokensToFirstToken = countPrefillQueueTokens(server, isLong) + uncachedTokens;
+  const expectedMs = server.rates.firstTokenMs(tokensToFirstToken, now);
   const { prefixes } = query;
-  return { prefixes, tokens, tokensAhead: ahead, expectedMs, firstTokenBy, isOverdue: false };
+  return {
+    prefixes,
+    uncachedTokens,
+    tokensToFirstToken,
+    expectedMs,
+    firstTokenDeadline,
+    isCountedAsSlow: false,
+  };
 }
 
-/** A permit that a router says it uses, granted by an earlier holder. */
+/** A permit in use that was granted by an earlier holder, as its router reports it. */
 export interface AdoptedPermit {
   permitId: string;
   requestId: string;
@@ -144,14 +163,14 @@
 }
 
 /**
- * What a holder writes down for a permit of an earlier holder.
+ * Creates the record of a permit that an earlier holder granted.
  *
- * @param adopted the router's word
+ * @param adopted the router's report
  * @param node the router's node
  * @param server the permit's server
  * @param now the time on the holder's clock
  */
-export function createAdopted(
+export function createAdoptedPermit(
   adopted: AdoptedPermit,
   node: string,
   server: Server,
@@ -170,6 +189,6 @@
     batch: server.permits.size + 1,
     prefillServer: undefined,
     grantedAt: now,
-    reading: undefined,
+    pendingPrefill: undefined,
   };
 }
