--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -264,7 +264,7 @@
       quarantine.digestReceived(peer, crashes);
       backpressure.digestReceived(peer, notices);
     },
-    needed: listSchedulers,
+    requiredPeers: listSchedulers,
     received: peering.received,
     versionsReceived: peering.versionsReceived,
     lost: peering.lost,
@@ -416,7 +416,7 @@
     address,
     signal: ending.signal,
     found: (address) => {
-      overlay.learn(address);
+      overlay.addAddress(address);
     },
   });
   void publishing.done.then(banRows.load);
@@ -481,7 +481,7 @@
 
   function learnSeeds(): void {
     for (const seed of settings.seeds) {
-      overlay.learn(seed, true);
+      overlay.addAddress(seed, true);
     }
   }
 
--- a/src/peers/probing.ts
+++ b/src/peers/discovery.ts
@@ -12,21 +12,21 @@
 const DIALS_FOR_ALL = 3;
 
 /** Addresses of which nothing is known but that a gateway was there once. */
-export interface Probing {
+export interface Discovery {
   /** Remembers an address; for good where the settings name it. */
-  learn(address: string, isSeed: boolean): void;
+  addAddress(address: string, isSeed: boolean): void;
   /** A gateway was met there, or it is this one's own address. */
-  settle(address: string): void;
+  removeAddress(address: string): void;
   /**
    * Chooses addresses to dial now.
    *
    * @param need what the gateway knows
    */
-  choose(need: ProbingNeed): string[];
+  chooseAddresses(need: DiscoveryState): string[];
 }
 
 /** What the choice goes by. */
-export interface ProbingNeed {
+export interface DiscoveryState {
   now: number;
   /** Links that the gateway lacks to be well connected. */
   missing: number;
@@ -47,7 +47,7 @@
  * @param clock tells when an address was learnt, in ms
  * @param random spreads the dials of all gateways over the addresses
  */
-export function createProbing(clock: { now(): number }, random: RandomSource): Probing {
+export function createDiscovery(clock: { now(): number }, random: RandomSource): Discovery {
   const addresses = new Map<string, KnownAddress>();
 
   function forgetOld(now: number): void {
@@ -66,17 +66,17 @@
   }
 
   return {
-    learn(address, isSeed) {
+    addAddress(address, isSeed) {
       const known = addresses.get(address);
       addresses.set(address, {
         learntAt: clock.now(),
         isSeed: isSeed || known?.isSeed === true,
       });
     },
-    settle(address) {
+    removeAddress(address) {
       addresses.delete(address);
     },
-    choose({ now, missing, alive, lost }) {
+    chooseAddresses({ now, missing, alive, lost }) {
       forgetOld(now);
       const candidates = [...new Set([...addresses.keys(), ...lost])];
       if (missing > 0) return draw(candidates, missing);
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -1,5 +1,5 @@
 /** Other gateways: who is there, and what they say to each other. */
-export * from './beliefs.js';
+export * from './membership.js';
 export * from './links.js';
 export * from './messages.js';
 export * from './overlay.js';
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -33,7 +33,7 @@
   /** A dial has failed; `isRefused` where a machine said that no process listens there. */
   failed(address: string, isRefused: boolean): void;
   /** The address is this gateway's own. */
-  isSelf(address: string): void;
+  selfDialled(address: string): void;
 }
 
 /** The links of a gateway. */
@@ -160,7 +160,7 @@
   function meet(link: Link, state: GatewayState, isReplacement: boolean): void {
     const { node, incarnation } = state;
     if (node === listener.ownState().node) {
-      if (link.address !== undefined) listener.isSelf(link.address);
+      if (link.address !== undefined) listener.selfDialled(link.address);
       drop(link);
       return;
     }
--- a/src/peers/beliefs.ts
+++ b/src/peers/membership.ts
@@ -22,29 +22,29 @@
 export type OwnIdentity = Omit<GatewayState, 'sequence' | keyof OwnStatus>;
 
 /** What beliefs need. */
-export interface BeliefsParts {
+export interface GatewayMembershipParts {
   clock: Clock;
   self: OwnIdentity;
   status(): OwnStatus;
   /** Names of the partners at the moment. */
   partners(): readonly string[];
   /** Whether a peer was heard on a link of its own a moment ago. */
-  isHeard(node: string): boolean;
+  isResponsive(node: string): boolean;
   send(node: string, message: PeerMessage): void;
   /** A peer is believed lost, or another incarnation has taken its place. */
   lost(node: string): void;
   /** A state of a peer was taken in. */
-  learnt(state: GatewayState): void;
+  merged(state: GatewayState): void;
 }
 
 /** Names of peers found and lost since the last look. */
-export interface BeliefChanges {
+export interface MembershipChanges {
   found: string[];
   lost: string[];
 }
 
 /** The beliefs of a gateway. */
-export interface Beliefs {
+export interface GatewayMembership {
   members: Pick<Members<GatewayState>, 'alive' | 'suspected' | 'find' | 'isAlive'>;
   ownState: () => GatewayState;
   /** Tells all others if this gateway's status has changed. */
@@ -52,22 +52,22 @@
   /** Sends what partners have yet to hear. */
   flush: () => void;
   /** A peer introduced itself. */
-  meet(state: GatewayState): void;
+  introductionReceived(state: GatewayState): void;
   /** Takes in news of a partner, which is passed on. */
-  takeNews(news: PeerMessage & { kind: 'news' }, from: string): void;
+  applyUpdates(news: PeerMessage & { kind: 'news' }, from: string): void;
   /** Takes in all that a peer believes. It is not passed on: whoever lacks it asks as well. */
-  takeView(view: PeerMessage & { kind: 'view' }): void;
+  applyView(view: PeerMessage & { kind: 'view' }): void;
   /** Sends a peer all that is believed here. */
   sendView(node: string): void;
   /** Tells a peer that is heard though it is suspected; it then refutes the suspicion for all. */
-  challenge: (node: string) => void;
+  notifySuspected: (node: string) => void;
   /** This gateway has found a peer silent. */
   suspect(state: GatewayState): void;
   /** Believes suspicions that nobody has refuted in time, and forgets what is long past. */
-  settle(now: number): void;
+  expire(now: number): void;
   /** A number that is the same in all gateways that believe the same. */
   digest: () => number;
-  takeChanges(): BeliefChanges;
+  drainChanges(): MembershipChanges;
   /** Ends what waits to be sent. */
   close(): void;
 }
@@ -77,7 +77,7 @@
  *
  * @param parts who it is and how it reaches others
  */
-export function createBeliefs(parts: BeliefsParts): Beliefs {
+export function createGatewayMembership(parts: GatewayMembershipParts): GatewayMembership {
   const { clock, self } = parts;
   const members = createMembers<GatewayState>();
   const outbox = createOutbox<PeerUpdate>(() => parts.partners(), peerUpdateOrder);
@@ -169,7 +169,7 @@
     const wasAlive = members.isAlive(node);
     if (!members.merge(state, isOwnWord)) return false;
     pending.refuted(node);
-    parts.learnt(state);
+    parts.merged(state);
     if (!wasAlive) found.add(node);
     if (before !== undefined && before !== incarnation) parts.lost(node);
     return true;
@@ -190,7 +190,7 @@
       if (from !== undefined) answer(from, known.state);
       return;
     }
-    if (parts.isHeard(node)) {
+    if (parts.isResponsive(node)) {
       parts.send(node, packUpdates('news', [item]));
       return;
     }
@@ -242,23 +242,23 @@
     ownState,
     publish,
     flush,
-    meet(state) {
+    introductionReceived(state) {
       takeState(state, state.node, true);
       challenge(state.node);
     },
-    takeNews,
-    takeView,
+    applyUpdates: takeNews,
+    applyView: takeView,
     sendView,
-    challenge,
+    notifySuspected: challenge,
     suspect,
-    settle(now) {
-      for (const suspicion of pending.takeDue(now)) {
+    expire(now) {
+      for (const suspicion of pending.takeExpired(now)) {
         believeLost(suspicion);
       }
       members.forget(now, FORGET_MS);
     },
     digest: resolveDigest,
-    takeChanges() {
+    drainChanges() {
       const changes = { found: [...found], lost: [...lost] };
       found.clear();
       lost.clear();
--- a/src/peers/overlay.ts
+++ b/src/peers/overlay.ts
@@ -7,10 +7,10 @@
 import type { Log } from '../events/index.js';
 import { choosePeers, createPartners } from '../gossip/index.js';
 import type { Clock, RandomSource, Timer } from '../task/index.js';
-import { createBeliefs, type OwnIdentity, type OwnStatus } from './beliefs.js';
+import { createGatewayMembership, type OwnIdentity, type OwnStatus } from './membership.js';
 import { createPeerLinks, type LinksFactory } from './links.js';
 import type { GatewayMessage, GatewayState, PeerMessage, StoreVersions } from './messages.js';
-import { createProbing } from './probing.js';
+import { createDiscovery } from './discovery.js';
 
 /** Time between two heartbeats, in ms: what a gateway has missed must reach it well within the two seconds
  * that a change may take. */
@@ -39,7 +39,7 @@
 const MAX_WAITING = 1_000;
 
 /** Numbers that are the same in all gateways that know the same. */
-export interface KnowledgeDigests {
+export interface StateDigests {
   /** Of requests under which servers ended. */
   crashes: number;
   /** Of what servers ask of all gateways. */
@@ -54,14 +54,14 @@
   self: OwnIdentity;
   status(): OwnStatus;
   versions(): StoreVersions;
-  digests(): KnowledgeDigests;
+  digests(): StateDigests;
   /** Peers to keep a link to though they are no partners. */
-  needed(): Iterable<string>;
+  requiredPeers(): Iterable<string>;
   received(node: string, message: GatewayMessage): void;
   /** A partner's heartbeat said how far it knows the store. */
   versionsReceived(node: string, versions: StoreVersions): void;
   /** A partner's heartbeat said its digests. */
-  digestsReceived(node: string, digests: KnowledgeDigests): void;
+  digestsReceived(node: string, digests: StateDigests): void;
   /** The link to a peer was lost, the peer is silent, or another incarnation has taken its place. */
   lost(node: string): void;
   /** Makes links; real ones where absent. */
@@ -75,7 +75,7 @@
   start(): void;
   port(): number;
   /** Learns of an address at which a gateway may be; `isSeed` where the settings name it. */
-  learn: (address: string, isSeed?: boolean) => void;
+  addAddress: (address: string, isSeed?: boolean) => void;
   /** Peers believed alive, ordered by name; the same array until it changes. Empty while this gateway
    * hears nobody. */
   peers(): readonly GatewayState[];
@@ -98,7 +98,7 @@
 export function createOverlay(parts: OverlayParts): Overlay {
   const { clock, log, self } = parts;
   const partners = createPartners();
-  const probing = createProbing(clock, parts.random);
+  const probing = createDiscovery(clock, parts.random);
   /** Messages for peers to which a link is being made. */
   const waiting = new Map<string, PeerMessage[]>();
   /** Peers that have not answered yet, since when. */
@@ -116,18 +116,18 @@
   let beatTimer: Timer | undefined;
   let isClosed = false;
 
-  const beliefs = createBeliefs({
+  const beliefs = createGatewayMembership({
     clock,
     self,
     status: () => parts.status(),
     partners: () => partners.names(),
-    isHeard: wasHeardLately,
+    isResponsive: wasHeardLately,
     send(node, message) {
       links.send(node, message);
     },
     lost,
-    learnt(state) {
-      probing.settle(state.address);
+    merged(state) {
+      probing.removeAddress(state.address);
     },
   });
   const { members } = beliefs;
@@ -137,16 +137,16 @@
     received: receive,
     closed,
     failed,
-    isSelf(address) {
-      probing.settle(address);
+    selfDialled(address) {
+      probing.removeAddress(address);
     },
   });
 
   function opened(state: GatewayState): void {
     const { node } = state;
-    probing.settle(state.address);
+    probing.removeAddress(state.address);
     const knewNobody = members.alive().length === 0;
-    beliefs.meet(state);
+    beliefs.introductionReceived(state);
     for (const message of waiting.get(node) ?? []) {
       links.send(node, message);
     }
@@ -195,8 +195,8 @@
     heardAt = clock.now();
     expecting.delete(node);
     if (message.kind === 'beat') takeBeat(node, message);
-    else if (message.kind === 'news') beliefs.takeNews(message, node);
-    else if (message.kind === 'view') beliefs.takeView(message);
+    else if (message.kind === 'news') beliefs.applyUpdates(message, node);
+    else if (message.kind === 'view') beliefs.applyView(message);
     else if (message.kind === 'want' && message.what === 'view') beliefs.sendView(node);
     else if (message.kind !== 'introduction') parts.received(node, message);
   }
@@ -204,7 +204,7 @@
   function takeBeat(node: string, beat: PeerMessage & { kind: 'beat' }): void {
     const now = clock.now();
     partners.recordHeartbeatReceived(node, beat.isChosen, now);
-    beliefs.challenge(node);
+    beliefs.notifySuspected(node);
     if (beat.digest === beliefs.digest()) differing.delete(node);
     else noteDifference(node, now);
     parts.versionsReceived(node, beat);
@@ -236,7 +236,7 @@
     tendedAt = now;
     dropSilentLinks(now);
     watchPartners(now);
-    beliefs.settle(now);
+    beliefs.expire(now);
     linkPartners(now);
     probe(now);
     closeIdle();
@@ -284,7 +284,7 @@
       chosen = new Set(choosePeers(self.node, alive, PARTNERS).map(({ node }) => node));
     }
     partners.choose(chosen, now);
-    for (const node of [...partners.names(), ...parts.needed()]) {
+    for (const node of [...partners.names(), ...parts.requiredPeers()]) {
       if (node !== self.node) link(node);
     }
   }
@@ -305,7 +305,7 @@
     const addresses = candidates.map(({ address }) => address);
     const missing = PARTNERS / 2 - links.nodes().length;
     const alive = members.alive().length;
-    for (const address of probing.choose({ now, missing, alive, lost: addresses })) {
+    for (const address of probing.chooseAddresses({ now, missing, alive, lost: addresses })) {
       links.dial(address);
     }
   }
@@ -313,7 +313,7 @@
   function closeIdle(): void {
     const idle = links.idle();
     if (idle.length === 0) return;
-    const kept = new Set([...partners.names(), ...parts.needed()]);
+    const kept = new Set([...partners.names(), ...parts.requiredPeers()]);
     for (const node of idle) {
       if (!kept.has(node)) links.drop(node);
     }
@@ -333,7 +333,7 @@
   }
 
   function logChanges(): void {
-    const { found, lost } = beliefs.takeChanges();
+    const { found, lost } = beliefs.drainChanges();
     const isAlone = isIsolated();
     if (found.length === 0 && lost.length === 0 && isAlone === wasIsolated) return;
     wasIsolated = isAlone;
@@ -365,12 +365,12 @@
     listen: links.listen,
     start: tend,
     port: links.port,
-    learn(address, isSeed = false) {
+    addAddress(address, isSeed = false) {
       if (isClosed || address === self.address) return;
       for (const state of members.alive()) {
         if (state.address === address) return;
       }
-      probing.learn(address, isSeed);
+      probing.addAddress(address, isSeed);
     },
     peers: () => (isIsolated() ? nobody : members.alive()),
     isConnected: () => partners.names().length > 0 && !isIsolated(),
--- a/src/peers/pending-suspicions.ts
+++ b/src/peers/pending-suspicions.ts
@@ -16,7 +16,7 @@
   /** A gateway has said something newer of itself. */
   refuted(node: string): void;
   /** Takes those that nobody refuted in time. */
-  takeDue(now: number): GatewaySuspicion[];
+  takeExpired(now: number): GatewaySuspicion[];
 }
 
 /** Creates an empty set of suspicions. */
@@ -35,7 +35,7 @@
     refuted(node) {
       waiting.delete(node);
     },
-    takeDue(now) {
+    takeExpired(now) {
       const due: GatewaySuspicion[] = [];
       for (const [node, { suspicion, since }] of waiting) {
         if (now - since < REFUTE_MS) continue;
--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -14,7 +14,7 @@
 import type { SendBudget } from '../limits/send-budget.js';
 import type { GatewayMetrics } from '../metrics/index.js';
 import { createFingerprint, type Ban, type Quarantine } from '../quarantine/index.js';
-import { resolveTarget, type Route, type RoutingReplica } from '../routing/index.js';
+import { chooseTarget, type Route, type RoutingReplica } from '../routing/index.js';
 import { wait, type Clock, type RandomSource, type Timer } from '../task/index.js';
 import type { CallerAnswer } from './caller-answer.js';
 import type { Connections } from './connections.js';
@@ -103,7 +103,7 @@
     return;
   }
   const route = index.find(head.host, arrival.path);
-  const service = route === undefined ? undefined : resolveTarget(route, parts.random.next());
+  const service = route === undefined ? undefined : chooseTarget(route, parts.random.next());
   if (route === undefined || service === undefined) {
     const { version } = index.table;
     parts.metrics.refusals.inc({ reason: 'no-route' });
@@ -164,10 +164,10 @@
     requestId,
     service,
     rank: route.rank,
-    pauseMs: route.pauseMs,
+    pauseMs: route.maxEventGapMs,
     isReturn: parts.waits.isReturn(route.name, head.waitMs),
     signal: giveUp.signal,
-    aimLeftMs: () => route.aimMs - (clock.now() - arrivedAt),
+    aimLeftMs: () => route.latencyObjectiveMs - (clock.now() - arrivedAt),
     timeLeftMs: () => endAt - clock.now(),
     find: (id) => parts.fleet.find(id),
     barrier: gate.barrier,
@@ -302,8 +302,8 @@
     const isLast = progress.attempts + 1 >= route.maxAttempts;
     // a busy engine lets a request wait for a slot; whether it is silent is its scheduler's to judge
     if (isLast || prompt !== undefined || !isRepeatable(route)) return undefined;
-    const patienceMs = Math.max(LEAST_PATIENCE_MS, PATIENCE_FACTOR * route.aimMs);
-    return endAt - clock.now() - patienceMs > route.aimMs ? patienceMs : undefined;
+    const patienceMs = Math.max(LEAST_PATIENCE_MS, PATIENCE_FACTOR * route.latencyObjectiveMs);
+    return endAt - clock.now() - patienceMs > route.latencyObjectiveMs ? patienceMs : undefined;
   }
 
   /** Takes in how a send ended. */
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,4 +1,4 @@
 /** Routes of hosts and path prefixes to services. */
 export * from './replica.js';
 export * from './route.js';
-export * from './router.js';
+export * from './route-index.js';
--- a/src/routing/replica.ts
+++ b/src/routing/replica.ts
@@ -3,7 +3,7 @@
  * from, so a gateway never goes back to routes that it has already left.
  */
 import type { Log } from '../events/index.js';
-import { createRouteIndex, type RouteIndex } from './router.js';
+import { createRouteIndex, type RouteIndex } from './route-index.js';
 import type { RoutingTable } from './route.js';
 
 /** A version with the document that it was read from, for handing on to peers. */
--- a/src/routing/router.ts
+++ b/src/routing/route-index.ts
@@ -49,7 +49,7 @@
  * @param route the route of the request
  * @param chance evenly spread over [0, 1)
  */
-export function resolveTarget(route: Route, chance: number): string | undefined {
+export function chooseTarget(route: Route, chance: number): string | undefined {
   let total = 0;
   for (const target of route.targets) {
     total += target.weight;
--- a/src/routing/route.ts
+++ b/src/routing/route.ts
@@ -28,9 +28,9 @@
   /** Longest time until the last byte of the answer, in milliseconds. */
   timeoutMs: number;
   /** Time until the answer, or the first event of a stream, within which it is on time, in ms. */
-  aimMs: number;
+  latencyObjectiveMs: number;
   /** Longest pause between two events of a stream within which it is on time, in milliseconds. */
-  pauseMs: number;
+  maxEventGapMs: number;
   /** Rank among routes; 0 is served first. */
   rank: number;
   targets: readonly Target[];
@@ -41,7 +41,7 @@
 }
 
 /** What is known of the model engines of a service. */
-export interface EngineTerms {
+export interface EngineProperties {
   /** Requests that one engine runs at once. */
   slots: number;
   /** Tokens that the KV cache of one engine holds. */
@@ -58,7 +58,7 @@
   /** Most connections that one backend server takes from all gateways together. */
   maxConnections: number;
   /** Present where the backend servers are model engines. */
-  engine: EngineTerms | undefined;
+  engine: EngineProperties | undefined;
 }
 
 /** Limits on what a caller may send and how long it may take. */
--- a/test/peers/links.test.ts
+++ b/test/peers/links.test.ts
@@ -35,7 +35,7 @@
       versions: () => ({ routes: 1, fleet: 1 }),
       digests: () => ({ crashes: 0, notices: 0 }),
       digestsReceived: () => undefined,
-      needed: () => [],
+      requiredPeers: () => [],
       received: (peer) => received.push(peer),
       versionsReceived: (peer) => received.push(peer),
       lost: (peer) => lost.push(peer),
@@ -50,8 +50,8 @@
 
   it('keeps one link between two gateways that dialled each other at once', async () => {
     const [a, b] = [await join('a'), await join('b')];
-    a.overlay.learn(`127.0.0.1:${b.overlay.port()}`);
-    b.overlay.learn(`127.0.0.1:${a.overlay.port()}`);
+    a.overlay.addAddress(`127.0.0.1:${b.overlay.port()}`);
+    b.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1 && b.overlay.peers().length === 1);
     // well beyond the time after which a link without heartbeats is dropped
     await until(() => a.received.length > 6 && b.received.length > 6);
@@ -61,15 +61,15 @@
 
   it('learns of gateways from those it knows', async () => {
     const [a, b, c] = [await join('a'), await join('b'), await join('c')];
-    b.overlay.learn(`127.0.0.1:${a.overlay.port()}`);
+    b.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1);
-    c.overlay.learn(`127.0.0.1:${a.overlay.port()}`);
+    c.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => b.overlay.peers().length === 2 && c.overlay.peers().length === 2);
   });
 
   it('says that a peer is lost when it is gone', async () => {
     const [a, b] = [await join('a'), await join('b')];
-    a.overlay.learn(`127.0.0.1:${b.overlay.port()}`);
+    a.overlay.addAddress(`127.0.0.1:${b.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1);
     b.overlay.close();
     // one that hears nobody has no peers at once, and takes b for lost a moment later
--- a/test/peers/beliefs.test.ts
+++ b/test/peers/membership.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { createBeliefs, type GatewayState, type PeerMessage } from '../../src/peers/index.js';
+import { createGatewayMembership, type GatewayState, type PeerMessage } from '../../src/peers/index.js';
 import { createSteppedClock } from '../fixtures/peer-network.js';
 
 const self = {
@@ -28,19 +28,19 @@
   const { clock, advance } = createSteppedClock();
   const sent: { to: string; message: PeerMessage }[] = [];
   const lost: string[] = [];
-  const beliefs = createBeliefs({
+  const beliefs = createGatewayMembership({
     clock,
     self,
     status: () => ({ isReady: true, isFollowing: false }),
     partners: () => ['p', 'q'],
-    isHeard: () => false,
+    isResponsive: () => false,
     send: (to, message) => sent.push({ to, message }),
     lost: (node) => lost.push(node),
-    learnt: () => undefined,
+    merged: () => undefined,
   });
   function settle(delayMs: number): void {
     advance(delayMs);
-    beliefs.settle(clock.now());
+    beliefs.expire(clock.now());
   }
   return { beliefs, sent, lost, advance, settle };
 }
@@ -58,13 +58,13 @@
 describe('what a gateway believes of others', () => {
   it('counts a peer that others suspect as lost only when nobody refutes it in time', () => {
     const { beliefs, lost, settle } = setUp();
-    beliefs.meet(stateOf('a', 1));
-    beliefs.meet(stateOf('b', 1));
-    beliefs.takeNews(suspicionOf('a', 1), 'p');
-    beliefs.takeNews(suspicionOf('b', 1), 'p');
+    beliefs.introductionReceived(stateOf('a', 1));
+    beliefs.introductionReceived(stateOf('b', 1));
+    beliefs.applyUpdates(suspicionOf('a', 1), 'p');
+    beliefs.applyUpdates(suspicionOf('b', 1), 'p');
     settle(200);
     expect(lost).to.deep.equal([]);
-    beliefs.takeNews({ kind: 'news', states: [stateOf('b', 2)], suspicions: [] }, 'q');
+    beliefs.applyUpdates({ kind: 'news', states: [stateOf('b', 2)], suspicions: [] }, 'q');
     settle(200);
     expect(lost).to.deep.equal(['a']);
     expect(beliefs.members.alive().map(({ node }) => node)).to.deep.equal(['b']);
@@ -72,7 +72,7 @@
 
   it('is told to all when it is wrong about this gateway itself', () => {
     const { beliefs, sent, advance } = setUp();
-    beliefs.takeNews(suspicionOf('self', 1), 'p');
+    beliefs.applyUpdates(suspicionOf('self', 1), 'p');
     advance(50);
     expect(statesTo('p', sent)).to.deep.equal(['self/2']);
     expect(statesTo('q', sent)).to.deep.equal(['self/2']);
@@ -80,12 +80,12 @@
 
   it('is corrected for one that has missed a refutation, and for nobody else', () => {
     const { beliefs, sent, advance } = setUp();
-    beliefs.takeNews(suspicionOf('self', 1), 'q');
-    beliefs.meet(stateOf('a', 5));
+    beliefs.applyUpdates(suspicionOf('self', 1), 'q');
+    beliefs.introductionReceived(stateOf('a', 5));
     advance(50);
     sent.splice(0);
-    beliefs.takeNews(suspicionOf('self', 1), 'p');
-    beliefs.takeNews(suspicionOf('a', 4), 'p');
+    beliefs.applyUpdates(suspicionOf('self', 1), 'p');
+    beliefs.applyUpdates(suspicionOf('a', 4), 'p');
     advance(50);
     expect(statesTo('p', sent)).to.deep.equal(['self/2', 'a/5']);
     expect(statesTo('q', sent)).to.deep.equal([]);
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -3,7 +3,7 @@
 import {
   createRouteIndex,
   createRoutingReplica,
-  resolveTarget,
+  chooseTarget,
   type Route,
   type RoutingTable,
 } from '../../src/routing/index.js';
@@ -17,8 +17,8 @@
     isStream: false,
     isResumable: false,
     timeoutMs: 1_000,
-    pauseMs: 200,
-    aimMs: 100,
+    maxEventGapMs: 200,
+    latencyObjectiveMs: 100,
     rank: 0,
     targets: [{ service: 'pages', weight: 1 }],
     maxAttempts: 1,
@@ -52,8 +52,8 @@
       { service: 'b', weight: 10 },
     ];
     const split = route('split', '/a/', { targets });
-    expect(resolveTarget(split, 0.89)).to.equal('a');
-    expect(resolveTarget(split, 0.91)).to.equal('b');
+    expect(chooseTarget(split, 0.89)).to.equal('a');
+    expect(chooseTarget(split, 0.91)).to.equal('b');
   });
 
   it('only moves forward, whoever offers an older version', () => {
