--- a/src/gateway/answer-bans.ts
+++ b/src/gateway/answer-bans.ts
@@ -4,7 +4,7 @@
  */
 import type { IncomingMessage } from 'node:http';
 import type { Quarantine } from '../quarantine/index.js';
-import type { StatusAnswer } from './status-servers.js';
+import type { StatusResponse } from './status-servers.js';
 
 const PATH = '/bans';
 
@@ -18,7 +18,7 @@
 export function answerBans(
   quarantine: Pick<Quarantine, 'bans' | 'lift'>,
   { method = 'GET', url = '' }: Pick<IncomingMessage, 'method' | 'url'>,
-): StatusAnswer | undefined {
+): StatusResponse | undefined {
   if (method === 'GET' && url === PATH) return createAnswer(200, { bans: quarantine.bans() });
   if (method !== 'DELETE' || !url.startsWith(`${PATH}/`)) return undefined;
   const fingerprint = url.slice(PATH.length + 1);
@@ -27,6 +27,6 @@
   return createAnswer(404, { error: `no ban has the fingerprint ${fingerprint}; ${next}` });
 }
 
-function createAnswer(status: number, body: unknown): StatusAnswer {
+function createAnswer(status: number, body: unknown): StatusResponse {
   return { status, contentType: 'application/json', body: `${JSON.stringify(body)}\n` };
 }
--- a/src/gateway/catch-up.ts
+++ b/src/gateway/catch-up.ts
@@ -22,13 +22,13 @@
   theirs: StoreVersions;
   own: StoreVersions;
   /** Whether this gateway relies on others for what the store holds. */
-  relies: boolean;
+  reliesOnPeers: boolean;
 }
 
 /** Decides what to ask peers for. */
 export interface CatchUp {
   /** Says what to ask a peer for now, by how far it is. */
-  choose(progress: PeerProgress): StorePart[];
+  chooseParts(progress: PeerProgress): StorePart[];
 }
 
 interface Lag {
@@ -43,14 +43,17 @@
 export function createCatchUp(): CatchUp {
   const lags = new Map<StorePart, Lag>();
 
-  function isToBeAsked(part: StorePart, { now, theirs, own, relies }: PeerProgress): boolean {
+  function isToBeAsked(
+    part: StorePart,
+    { now, theirs, own, reliesOnPeers }: PeerProgress,
+  ): boolean {
     if (theirs[part] <= own[part]) return false;
     let lag = lags.get(part);
     if (lag === undefined || own[part] >= lag.askedFor) {
       lag = { since: now, askedAt: Number.NEGATIVE_INFINITY, askedFor: theirs[part] };
       lags.set(part, lag);
     }
-    if (!relies && now - lag.since < OWN_READ_MS) return false;
+    if (!reliesOnPeers && now - lag.since < OWN_READ_MS) return false;
     if (now - lag.askedAt < ANSWER_MS) return false;
     lag.askedAt = now;
     lag.askedFor = theirs[part];
@@ -58,7 +61,7 @@
   }
 
   return {
-    choose(progress) {
+    chooseParts(progress) {
       const parts: StorePart[] = [];
       for (const part of ['routes', 'fleet'] as const) {
         if (isToBeAsked(part, progress)) parts.push(part);
--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -11,13 +11,13 @@
 const ENOUGH_IN_ZONE = 2;
 
 /** A gateway that callers may use. */
-export interface FrontAddress {
+export interface CallerAddress {
   address: string;
   zone: string;
 }
 
 /** This gateway as its own directory sees it. */
-export interface OwnFront extends FrontAddress {
+export interface OwnAddress extends CallerAddress {
   isReady: boolean;
 }
 
@@ -28,12 +28,12 @@
  * @param peers the peers that are believed alive
  * @param zone the caller's availability zone
  */
-export function resolveFronts(
-  own: OwnFront,
+export function resolveGatewayAddresses(
+  own: OwnAddress,
   peers: readonly GatewayState[],
   zone: string | undefined,
 ): string[] {
-  const ready: FrontAddress[] = own.isReady ? [own] : [];
+  const ready: CallerAddress[] = own.isReady ? [own] : [];
   for (const peer of peers) {
     if (peer.isReady) ready.push({ address: peer.front, zone: peer.zone });
   }
--- a/src/gateway/engine-calls.ts
+++ b/src/gateway/engine-calls.ts
@@ -20,7 +20,7 @@
  * @param calls the platform's
  * @param backpressure knows which engines asked for a pause
  */
-export function createEngineCalls(
+export function createPauseAwareCalls(
   { roleOrders, caches }: EngineCalls,
   backpressure: Pick<Backpressure, 'msUntilResumed'>,
 ): EngineCalls {
--- a/src/gateway/follow.ts
+++ b/src/gateway/follow.ts
@@ -4,7 +4,7 @@
  */
 import type { FeedBatch } from '../ports/row-feed.js';
 import { wait, type RandomSource } from '../task/index.js';
-import { ask, type AskParts } from './ask.js';
+import { queryFeed, type FeedQueryParts } from './query-feed.js';
 
 /** Time within which an accepted change must be in force where the settings do not say, in ms. */
 const DEFAULT_CHANGE_MS = 2_000;
@@ -27,14 +27,14 @@
 const REST_MS = 200;
 
 /** What following needs. */
-export interface FollowParts<Item> extends AskParts<Item> {
+export interface FollowParts<Item> extends FeedQueryParts<Item> {
   random: RandomSource;
   /** Time within which an accepted change must be in force, in ms. */
   changeMs?: number | undefined;
   /** How many gateways ask the store as this one does; one where absent. */
-  asking?(): number;
+  readerCount?(): number;
   /** Others pass on what the store holds; nothing need be asked now. */
-  mayRest(): boolean;
+  mayPause(): boolean;
   /** Everything there is. */
   replaced(batch: FeedBatch<Item>): void;
   /** What has changed. */
@@ -47,24 +47,24 @@
  * @param parts the feed and who listens
  */
 export async function follow<Item>(parts: FollowParts<Item>): Promise<void> {
-  const { clock, random, signal, watch } = parts;
+  const { clock, random, signal, storeHealth } = parts;
   const changeMs = parts.changeMs ?? DEFAULT_CHANGE_MS;
   let revision: number | undefined;
   let pauseMs = FIRST_PAUSE_MS;
   while (!signal.aborted) {
-    if (revision !== undefined && parts.mayRest()) {
+    if (revision !== undefined && parts.mayPause()) {
       await wait(clock, REST_MS);
       continue;
     }
-    const crowding = Math.max(1, (parts.asking?.() ?? 1) / ASKING_AT_FULL_PACE);
+    const crowding = Math.max(1, (parts.readerCount?.() ?? 1) / ASKING_AT_FULL_PACE);
     const isHeld = revision !== undefined && pauseMs === FIRST_PAUSE_MS;
-    const result = await ask(parts, {
+    const result = await queryFeed(parts, {
       after: revision,
-      holdMs: isHeld ? Math.round(changeMs * HOLD_SHARE) : 0,
+      longPollMs: isHeld ? Math.round(changeMs * HOLD_SHARE) : 0,
       overdueMs: changeMs * OVERDUE_SHARE * crowding,
     });
     if (result.isOk()) {
-      watch.succeeded(parts.name);
+      storeHealth.succeeded(parts.name);
       pauseMs = FIRST_PAUSE_MS;
       if (revision === undefined) parts.replaced(result.value);
       else parts.changed(result.value);
--- a/src/gateway/followers.ts
+++ b/src/gateway/followers.ts
@@ -30,7 +30,7 @@
   /** Whether there are gateways that do not follow it, so that what is read there is passed on at once. */
   isLargeFleet(): boolean;
   /** Whether this gateway may rely on others for what the store holds. */
-  mayRely(): boolean;
+  mayRelyOnPeers(): boolean;
 }
 
 interface Count {
@@ -65,7 +65,7 @@
   return {
     isFollower,
     isLargeFleet,
-    mayRely() {
+    mayRelyOnPeers() {
       const view = look();
       if (isFollower() || !view.isConnected) return false;
       return resolveCount(view).following >= HEARD_FOLLOWERS;
--- a/src/gateway/following.ts
+++ b/src/gateway/following.ts
@@ -11,7 +11,7 @@
 /** What following needs. */
 export interface FollowingParts extends Pick<
   FollowParts<never>,
-  'clock' | 'random' | 'log' | 'watch' | 'signal' | 'mayRest' | 'asking' | 'changeMs'
+  'clock' | 'random' | 'log' | 'storeHealth' | 'signal' | 'mayPause' | 'readerCount' | 'changeMs'
 > {
   routesFeed: RowFeed<RoutingDocument>;
   registryFeed: RowFeed<RegistryChange>;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -37,17 +37,17 @@
 } from '../scheduling/index.js';
 import { createGuardedClock, wait, type Clock, type RandomSource } from '../task/index.js';
 import { answerBans } from './answer-bans.js';
-import { resolveFronts } from './directory.js';
-import { createEngineCalls } from './engine-calls.js';
+import { resolveGatewayAddresses } from './directory.js';
+import { createPauseAwareCalls } from './engine-calls.js';
 import { createFollowers } from './followers.js';
 import { startFollowing } from './following.js';
-import { createKeptQuarantine } from './kept-quarantine.js';
+import { createPersistentQuarantine } from './persistent-quarantine.js';
 import { createPeering } from './peering.js';
 import { publishAddress } from './publish-address.js';
 import { createSchedulers } from './schedulers.js';
 import type { GatewaySettings, ListenAddress } from './settings.js';
-import { createStoreWatch } from './store-watch.js';
-import { startStatusServer, type StatusAnswer, type StatusHandler } from './status-servers.js';
+import { createStoreHealth } from './store-health.js';
+import { startStatusServer, type StatusResponse, type StatusHandler } from './status-servers.js';
 
 /** Part of the grace period that is kept for ending, in ms: connections are closed by then, so that
  * the process ends by itself before it is killed. */
@@ -89,10 +89,10 @@
   caches: CacheLists;
   /** Decodes routes that a peer passed on; `undefined`, with a log line, when it cannot. */
   parseRoutes(text: string): RoutingDocument | undefined;
-  readinessAnswer(isReady: boolean): StatusAnswer;
+  readinessResponse(isReady: boolean): StatusResponse;
   /** Availability zone of the caller that asks the directory. */
   readDirectoryZone(url: string): string | undefined;
-  directoryAnswer(addresses: readonly string[], ttlMs: number): StatusAnswer;
+  directoryResponse(addresses: readonly string[], ttlMs: number): StatusResponse;
 }
 
 /** What a gateway is made of. */
@@ -128,7 +128,7 @@
   let isLeaving = false;
   let leavingAt = Number.POSITIVE_INFINITY;
 
-  const watch = createStoreWatch(clock, log, {
+  const storeHealth = createStoreHealth(clock, log, {
     lost() {
       fleet.storeLost();
     },
@@ -179,7 +179,7 @@
     metrics.routesSince.reset();
     metrics.routesSince.set({ version: routes.version() }, Date.now() / 1_000);
   });
-  const { quarantine, banRows } = createKeptQuarantine({
+  const { quarantine, banRows } = createPersistentQuarantine({
     clock,
     log,
     metrics,
@@ -201,7 +201,7 @@
   const guardedClock = createGuardedClock(clock, (error) => {
     log.write('decisionFailed', { step: 'timer', reason: String(error) });
   });
-  const engineCalls = createEngineCalls(platform, backpressure);
+  const engineCalls = createPauseAwareCalls(platform, backpressure);
   const schedulers = createSchedulers({
     clock: guardedClock,
     log,
@@ -256,7 +256,7 @@
     },
     status: () => ({
       isReady: isReady(),
-      isFollowing: watch.isReached() && followers.isFollower(),
+      isFollowing: storeHealth.isReachable() && followers.isFollower(),
     }),
     versions: peering.versions,
     digests: () => ({ crashes: quarantine.digest(), notices: backpressure.digest() }),
@@ -353,18 +353,22 @@
 
   /** Links to schedulers are made before the first request needs one. */
   function listSchedulers(): string[] {
-    return [...engineServices()].flatMap((name) => schedulers.nearest(name));
+    return [...engineServices()].flatMap((name) => schedulers.preferred(name));
   }
 
-  function answerDirectory(url: string): StatusAnswer {
+  function answerDirectory(url: string): StatusResponse {
     const own = { address: formatAddress(settings.callers), zone, isReady: isReady() };
-    const addresses = resolveFronts(own, overlay.peers(), platform.readDirectoryZone(url));
-    return platform.directoryAnswer(addresses, settings.bounds.directoryTtlMs * TTL_SHARE);
+    const addresses = resolveGatewayAddresses(
+      own,
+      overlay.peers(),
+      platform.readDirectoryZone(url),
+    );
+    return platform.directoryResponse(addresses, settings.bounds.directoryTtlMs * TTL_SHARE);
   }
 
   function startStatusServers(): Promise<Server[]> {
     const pending = [
-      startStatusServer(settings.readiness, () => platform.readinessAnswer(isReady())),
+      startStatusServer(settings.readiness, () => platform.readinessResponse(isReady())),
       startStatusServer(
         settings.metrics,
         (request) => answerBans(quarantine, request) ?? renderMetrics(request),
@@ -392,11 +396,11 @@
     clock,
     random,
     log,
-    watch,
+    storeHealth,
     signal: ending.signal,
-    mayRest: () => followers.mayRely(),
+    mayPause: () => followers.mayRelyOnPeers(),
     // those that follow for all others are few, whatever the size
-    asking: () => (followers.isFollower() ? 1 : overlay.peers().length + 1),
+    readerCount: () => (followers.isFollower() ? 1 : overlay.peers().length + 1),
     changeMs: settings.bounds.changeMs,
     routesFeed: platform.routes,
     registryFeed: platform.registry,
@@ -426,7 +430,7 @@
   });
 
   function rewriteRows(): void {
-    void publishing.renew();
+    void publishing.rewrite();
     for (const { fingerprint } of quarantine.bans()) banRows.changed(fingerprint);
   }
 
--- a/src/gateway/peering.ts
+++ b/src/gateway/peering.ts
@@ -37,7 +37,7 @@
   scheduler(service: string): Scheduler;
   quarantine: Pick<Quarantine, 'received' | 'peerLost'>;
   backpressure: Pick<Backpressure, 'received' | 'peerLost'>;
-  followers: Pick<Followers, 'isLargeFleet' | 'mayRely'>;
+  followers: Pick<Followers, 'isLargeFleet' | 'mayRelyOnPeers'>;
   /** Decodes routes that a peer passed on; `undefined` when they cannot be read. */
   parseRoutes(text: string): RoutingDocument | undefined;
 }
@@ -81,9 +81,9 @@
   }
 
   function versionsReceived(node: string, theirs: StoreVersions): void {
-    const relies = parts.followers.mayRely();
-    const progress = { now: clock.now(), theirs, own: versions(), relies };
-    for (const what of catchUp.choose(progress)) {
+    const reliesOnPeers = parts.followers.mayRelyOnPeers();
+    const progress = { now: clock.now(), theirs, own: versions(), reliesOnPeers };
+    for (const what of catchUp.chooseParts(progress)) {
       parts.overlay().send(node, { kind: 'want', what, after: progress.own[what] });
     }
   }
--- a/src/gateway/kept-quarantine.ts
+++ b/src/gateway/persistent-quarantine.ts
@@ -15,7 +15,7 @@
 import type { Clock } from '../task/index.js';
 
 /** What it needs. */
-export interface KeptQuarantineParts {
+export interface PersistentQuarantineParts {
   clock: Clock;
   log: Log;
   metrics: GatewayMetrics;
@@ -33,7 +33,7 @@
  *
  * @param parts the way to peers and to the platform
  */
-export function createKeptQuarantine(parts: KeptQuarantineParts): {
+export function createPersistentQuarantine(parts: PersistentQuarantineParts): {
   quarantine: Quarantine;
   banRows: BanRows;
 } {
--- a/src/gateway/publish-address.ts
+++ b/src/gateway/publish-address.ts
@@ -32,7 +32,7 @@
   /** Fulfilled once the row is written and the others were read. */
   done: Promise<void>;
   /** Writes the row again: the store has lost it. */
-  renew(): Promise<void>;
+  rewrite(): Promise<void>;
   /** Takes the row back. */
   withdraw(): Promise<void>;
 }
@@ -86,7 +86,7 @@
 
   return {
     done: run(),
-    renew: () => repeat(put),
+    rewrite: () => repeat(put),
     async withdraw() {
       withdrawn = true;
       const outcome = await table.transact({ conditions: [], puts: [], deletes: [key] });
--- a/src/gateway/ask.ts
+++ b/src/gateway/query-feed.ts
@@ -7,24 +7,24 @@
 import type { Log } from '../events/index.js';
 import type { FeedBatch, FeedFailure, RowFeed } from '../ports/row-feed.js';
 import type { Clock, Timer } from '../task/index.js';
-import type { StoreWatch } from './store-watch.js';
+import type { StoreHealth } from './store-health.js';
 
 /** What asking needs. */
-export interface AskParts<Item> {
+export interface FeedQueryParts<Item> {
   name: string;
   feed: RowFeed<Item>;
   clock: Clock;
   log: Log;
-  watch: StoreWatch;
+  storeHealth: StoreHealth;
   signal: AbortSignal;
 }
 
 /** One question. */
-export interface Question {
+export interface FeedQuery {
   /** The revision of the last read; `undefined` asks for everything. */
   after: number | undefined;
   /** How long the store may hold the first call, in ms; further calls are not held. */
-  holdMs: number;
+  longPollMs: number;
   /** An answer that has not begun so long after the hold is overdue, in ms. */
   overdueMs: number;
 }
@@ -41,12 +41,12 @@
  * @param parts the feed and who hears of lost calls
  * @param question what is asked
  */
-export function ask<Item>(
-  parts: AskParts<Item>,
-  question: Question,
+export function queryFeed<Item>(
+  parts: FeedQueryParts<Item>,
+  question: FeedQuery,
 ): Promise<Result<FeedBatch<Item>, FeedFailure>> {
-  const { feed, clock, watch, signal } = parts;
-  const { after, holdMs, overdueMs } = question;
+  const { feed, clock, storeHealth, signal } = parts;
+  const { after, longPollMs, overdueMs } = question;
   const ending = new AbortController();
   const out = new Set<Sent>();
   let newest: Sent = { at: clock.now() };
@@ -54,11 +54,11 @@
   let timer: Timer | undefined;
 
   return new Promise((resolve) => {
-    const stopListening = watch.onRegained(() => {
+    const stopListening = storeHealth.onRecovered(() => {
       send(0);
     });
     signal.addEventListener('abort', end);
-    send(holdMs);
+    send(longPollMs);
 
     function send(waitMs: number): void {
       const sent = { at: clock.now() };
@@ -84,7 +84,7 @@
     function sendAgain(): void {
       if (!hasBegun) {
         note('the answer is overdue', newest);
-        if (watch.mayProbe(overdueMs)) {
+        if (storeHealth.mayProbe(overdueMs)) {
           send(0);
           return;
         }
@@ -107,7 +107,7 @@
     function note(reason: string, { at }: Sent): void {
       const waitedMs = Math.round(clock.now() - at);
       parts.log.write('storeCallFailed', { feed: parts.name, after, waitedMs, reason });
-      watch.failed({ feed: parts.name, sentAt: at, reason });
+      storeHealth.failed({ feed: parts.name, sentAt: at, reason });
     }
 
     function finish(result: Result<FeedBatch<Item>, FeedFailure>): void {
--- a/src/gateway/schedulers.ts
+++ b/src/gateway/schedulers.ts
@@ -50,7 +50,7 @@
    */
   holderOf: (service: string, isAvoided?: (node: string) => boolean) => string;
   /** Gateways that are asked to schedule a service first. */
-  nearest: (service: string) => readonly string[];
+  preferred: (service: string) => readonly string[];
   /** An engine is gone for good. */
   forget: (engine: string) => void;
 }
@@ -93,11 +93,11 @@
   }
 
   function holderOf(service: string, isAvoided: (node: string) => boolean = () => false): string {
-    const first = nearest(service).find((node) => !isAvoided(node));
+    const first = preferred(service).find((node) => !isAvoided(node));
     return first ?? resolveAmong(service, isAvoided);
   }
 
-  function nearest(service: string): readonly string[] {
+  function preferred(service: string): readonly string[] {
     const count = Math.min(LINKED_SCHEDULERS, listReady().length);
     const known = drawn.get(service);
     if (known !== undefined) return known;
@@ -132,6 +132,6 @@
       return created;
     },
     holderOf,
-    nearest,
+    preferred,
   };
 }
--- a/src/gateway/status-servers.ts
+++ b/src/gateway/status-servers.ts
@@ -5,14 +5,14 @@
 import type { ListenAddress } from './settings.js';
 
 /** An answer of one of these servers. */
-export interface StatusAnswer {
+export interface StatusResponse {
   status: number;
   contentType: string;
   body: string;
 }
 
 /** Answers one request. */
-export type StatusHandler = (request: IncomingMessage) => StatusAnswer | Promise<StatusAnswer>;
+export type StatusHandler = (request: IncomingMessage) => StatusResponse | Promise<StatusResponse>;
 
 /**
  * Starts a server.
--- a/src/gateway/store-watch.ts
+++ b/src/gateway/store-health.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../task/index.js';
 
 /** A call that failed, or whose answer is overdue. */
-export interface LostCall {
+export interface FailedCall {
   /** The feed that sent it. */
   feed: string;
   /** When it was sent, on the gateway's clock, in ms. */
@@ -24,12 +24,12 @@
 }
 
 /** Knows whether the store answers this gateway. */
-export interface StoreWatch {
+export interface StoreHealth {
   /** The store answered a call of a feed. */
   succeeded(feed: string): void;
-  failed(call: LostCall): void;
+  failed(call: FailedCall): void;
   /** The store answered the last call. */
-  isReached(): boolean;
+  isReachable(): boolean;
   /**
    * Whether a feed may ask once more beside calls that are out. One of them finds the store for all, so
    * they take turns: a silence of 9.6 s costs a gateway 27 calls in place of 44 (virtual time).
@@ -43,7 +43,7 @@
    * @param action called as soon as the store answers any feed again
    * @returns ends it
    */
-  onRegained(action: () => void): () => void;
+  onRecovered(action: () => void): () => void;
 }
 
 /**
@@ -53,7 +53,7 @@
  * @param log hears of a lost and a regained store
  * @param listener hears of outages of the store, not of single calls that were lost
  */
-export function createStoreWatch(clock: Clock, log: Log, listener: OutageListener): StoreWatch {
+export function createStoreHealth(clock: Clock, log: Log, listener: OutageListener): StoreHealth {
   const waiting = new Set<() => void>();
   let answeredAt = Number.NEGATIVE_INFINITY;
   let probedAt = Number.NEGATIVE_INFINITY;
@@ -69,7 +69,7 @@
   }
 
   return {
-    isReached: () => answeredAt > Number.NEGATIVE_INFINITY && lostAt === undefined,
+    isReachable: () => answeredAt > Number.NEGATIVE_INFINITY && lostAt === undefined,
     mayProbe(intervalMs) {
       if (clock.now() - probedAt < intervalMs) return false;
       probedAt = clock.now();
@@ -90,7 +90,7 @@
       isAway = true;
       listener.lost();
     },
-    onRegained(action) {
+    onRecovered(action) {
       waiting.add(action);
       return () => waiting.delete(action);
     },
--- a/test/gateway/catch-up.test.ts
+++ b/test/gateway/catch-up.test.ts
@@ -11,31 +11,39 @@
 describe('what a gateway asks its peers for', () => {
   it('is what the first knows that is ahead, where it relies on others', () => {
     const catchUp = createCatchUp();
-    expect(catchUp.choose({ now: 0, theirs: own, own, relies: true })).to.deep.equal([]);
-    expect(catchUp.choose({ now: 0, theirs, own, relies: true })).to.deep.equal(['routes']);
-    expect(catchUp.choose({ now: 1, theirs, own, relies: true })).to.deep.equal([]);
+    expect(catchUp.chooseParts({ now: 0, theirs: own, own, reliesOnPeers: true })).to.deep.equal(
+      [],
+    );
+    expect(catchUp.chooseParts({ now: 0, theirs, own, reliesOnPeers: true })).to.deep.equal([
+      'routes',
+    ]);
+    expect(catchUp.chooseParts({ now: 1, theirs, own, reliesOnPeers: true })).to.deep.equal([]);
   });
 
   it('is asked of another where the first does not answer', () => {
     const catchUp = createCatchUp();
-    catchUp.choose({ now: 0, theirs, own, relies: true });
-    expect(catchUp.choose({ now: 800, theirs, own, relies: true })).to.deep.equal([]);
-    expect(catchUp.choose({ now: 1_000, theirs, own, relies: true })).to.deep.equal(['routes']);
+    catchUp.chooseParts({ now: 0, theirs, own, reliesOnPeers: true });
+    expect(catchUp.chooseParts({ now: 800, theirs, own, reliesOnPeers: true })).to.deep.equal([]);
+    expect(catchUp.chooseParts({ now: 1_000, theirs, own, reliesOnPeers: true })).to.deep.equal([
+      'routes',
+    ]);
   });
 
   it('is asked for at once again where there is something newer still', () => {
     const catchUp = createCatchUp();
-    catchUp.choose({ now: 0, theirs, own, relies: true });
+    catchUp.chooseParts({ now: 0, theirs, own, reliesOnPeers: true });
     const caughtUp = { ...own, routes: 2 };
     const newer = { ...theirs, routes: 3 };
-    const next = catchUp.choose({ now: 5, theirs: newer, own: caughtUp, relies: true });
+    const next = catchUp.chooseParts({ now: 5, theirs: newer, own: caughtUp, reliesOnPeers: true });
     expect(next).to.deep.equal(['routes']);
   });
 
   it('is asked for after its own read was due, where it follows the store', () => {
     const catchUp = createCatchUp();
-    expect(catchUp.choose({ now: 0, theirs, own, relies: false })).to.deep.equal([]);
-    expect(catchUp.choose({ now: 700, theirs, own, relies: false })).to.deep.equal(['routes']);
+    expect(catchUp.chooseParts({ now: 0, theirs, own, reliesOnPeers: false })).to.deep.equal([]);
+    expect(catchUp.chooseParts({ now: 700, theirs, own, reliesOnPeers: false })).to.deep.equal([
+      'routes',
+    ]);
   });
 });
 
@@ -67,7 +75,7 @@
     overlay: () => node.overlay,
     routes,
     fleet: { revision: () => 1 },
-    followers: { isLargeFleet: () => true, mayRely: () => true },
+    followers: { isLargeFleet: () => true, mayRelyOnPeers: () => true },
     parseRoutes: (text: string) => createDocument(Number(text)),
   } as unknown as PeeringParts);
   node.handle = kept.peering.received;
--- a/test/gateway/follow.test.ts
+++ b/test/gateway/follow.test.ts
@@ -2,7 +2,7 @@
 import { Err, Ok } from 'ts-results-es';
 import { createSilentLog } from '../../src/events/index.js';
 import { follow } from '../../src/gateway/follow.js';
-import { createStoreWatch } from '../../src/gateway/store-watch.js';
+import { createStoreHealth } from '../../src/gateway/store-health.js';
 import type { RowFeed } from '../../src/ports/row-feed.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
@@ -38,9 +38,12 @@
       clock,
       random: { next: () => 0.5 },
       log,
-      watch: createStoreWatch(clock, log, { lost: () => undefined, returned: () => undefined }),
+      storeHealth: createStoreHealth(clock, log, {
+        lost: () => undefined,
+        returned: () => undefined,
+      }),
       signal: ending.signal,
-      mayRest: () => false,
+      mayPause: () => false,
       replaced: ({ items }) => heard.push(...items),
       changed({ items }) {
         heard.push(...items);
--- a/test/gateway/followers.test.ts
+++ b/test/gateway/followers.test.ts
@@ -50,7 +50,7 @@
     for (const node of all) {
       const followers = choose(node, all);
       expect(followers.isFollower()).to.equal(true);
-      expect(followers.mayRely()).to.equal(false);
+      expect(followers.mayRelyOnPeers()).to.equal(false);
       expect(followers.isLargeFleet()).to.equal(false);
     }
   });
@@ -58,7 +58,7 @@
   it('are a few in a large fleet', () => {
     const all = names(80);
     const followers = all.filter((node) => choose(node, all).isFollower());
-    const relying = all.filter((node) => choose(node, all).mayRely());
+    const relying = all.filter((node) => choose(node, all).mayRelyOnPeers());
     expect(followers).to.have.length(4);
     expect(relying).to.have.length(76);
   });
@@ -73,13 +73,13 @@
     const all = names(80);
     const followers = new Set(all.filter((node) => choose(node, all).isFollower()));
     const node = all.find((name) => !followers.has(name)) ?? '';
-    expect(choose(node, all).mayRely()).to.equal(true);
-    expect(choose(node, all, (name) => !followers.has(name)).mayRely()).to.equal(false);
+    expect(choose(node, all).mayRelyOnPeers()).to.equal(true);
+    expect(choose(node, all, (name) => !followers.has(name)).mayRelyOnPeers()).to.equal(false);
   });
 
   it('are joined by any gateway that hears none of its partners', () => {
     const all = names(80);
-    const node = all.find((name) => choose(name, all).mayRely()) ?? '';
-    expect(choose(node, all, () => true, false).mayRely()).to.equal(false);
+    const node = all.find((name) => choose(name, all).mayRelyOnPeers()) ?? '';
+    expect(choose(node, all, () => true, false).mayRelyOnPeers()).to.equal(false);
   });
 });
--- a/test/gateway/ask.test.ts
+++ b/test/gateway/query-feed.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { Err, Ok, type Result } from 'ts-results-es';
 import { createSilentLog } from '../../src/events/index.js';
-import { ask } from '../../src/gateway/ask.js';
-import { createStoreWatch } from '../../src/gateway/store-watch.js';
+import { queryFeed } from '../../src/gateway/query-feed.js';
+import { createStoreHealth } from '../../src/gateway/store-health.js';
 import type { FeedBatch, FeedFailure } from '../../src/ports/row-feed.js';
 import { createFakeClock, settle } from '../fixtures/fake-clock.js';
 
@@ -21,14 +21,17 @@
   const { clock, advance } = createFakeClock();
   const calls: SentCall[] = [];
   const log = createSilentLog();
-  const watch = createStoreWatch(clock, log, { lost: () => undefined, returned: () => undefined });
+  const storeHealth = createStoreHealth(clock, log, {
+    lost: () => undefined,
+    returned: () => undefined,
+  });
   const ending = new AbortController();
-  const pending = ask<number>(
+  const pending = queryFeed<number>(
     {
       name: 'routes',
       clock,
       log,
-      watch,
+      storeHealth,
       signal: ending.signal,
       feed: {
         readAll: () => Promise.resolve(lost),
@@ -38,9 +41,9 @@
           }),
       },
     },
-    { after: 7, holdMs: 1_500, overdueMs: 400 },
+    { after: 7, longPollMs: 1_500, overdueMs: 400 },
   );
-  return { advance, calls, watch, ending, pending };
+  return { advance, calls, storeHealth, ending, pending };
 }
 
 describe('asking the store', () => {
@@ -78,10 +81,10 @@
   });
 
   it('asks at once when another feed finds the store again', async () => {
-    const { advance, calls, watch } = setUp();
+    const { advance, calls, storeHealth } = setUp();
     await advance(100);
-    watch.failed({ feed: 'registry', sentAt: 50, reason: 'no answer' });
-    watch.succeeded('registry');
+    storeHealth.failed({ feed: 'registry', sentAt: 50, reason: 'no answer' });
+    storeHealth.succeeded('registry');
     expect(calls.map(({ waitMs }) => waitMs)).to.deep.equal([1_500, 0]);
   });
 
--- a/test/gateway/store-watch.test.ts
+++ b/test/gateway/store-health.test.ts
@@ -1,16 +1,16 @@
 import { expect } from 'chai';
 import { createSilentLog } from '../../src/events/index.js';
-import { createStoreWatch } from '../../src/gateway/store-watch.js';
+import { createStoreHealth } from '../../src/gateway/store-health.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
 
 function setUp() {
   const { clock, advance } = createFakeClock();
   const heard: string[] = [];
-  const watch = createStoreWatch(clock, createSilentLog(), {
+  const watch = createStoreHealth(clock, createSilentLog(), {
     lost: () => heard.push('lost'),
     returned: () => heard.push('returned'),
   });
-  watch.onRegained(() => heard.push('regained'));
+  watch.onRecovered(() => heard.push('regained'));
   watch.succeeded('routes');
   function fail(feed: string, sentAt: number): void {
     watch.failed({ feed, sentAt, reason: 'no answer' });
@@ -23,10 +23,10 @@
     const { watch, advance, heard, fail } = setUp();
     await advance(1_000);
     fail('routes', 10);
-    expect(watch.isReached()).to.equal(false);
+    expect(watch.isReachable()).to.equal(false);
     watch.succeeded('routes');
     expect(heard).to.deep.equal(['regained']);
-    expect(watch.isReached()).to.equal(true);
+    expect(watch.isReachable()).to.equal(true);
   });
 
   it('takes it for an outage when a call sent after the first loss is lost as well', async () => {
@@ -56,7 +56,7 @@
     await advance(1_000);
     watch.succeeded('registry');
     fail('routes', 900);
-    expect(watch.isReached()).to.equal(true);
+    expect(watch.isReachable()).to.equal(true);
     expect(heard).to.deep.equal([]);
   });
 });
--- a/test/gateway/store-outage.test.ts
+++ b/test/gateway/store-outage.test.ts
@@ -10,7 +10,7 @@
 import { Err, Ok, type Result } from 'ts-results-es';
 import { createSilentLog } from '../../src/events/index.js';
 import { follow } from '../../src/gateway/follow.js';
-import { createStoreWatch } from '../../src/gateway/store-watch.js';
+import { createStoreHealth } from '../../src/gateway/store-health.js';
 import type { FeedBatch, FeedFailure, RowFeed } from '../../src/ports/row-feed.js';
 import type { Clock } from '../../src/task/index.js';
 import { createFakeClock } from '../fixtures/fake-clock.js';
@@ -92,7 +92,10 @@
   const { clock, advance } = createFakeClock();
   const ending = new AbortController();
   const log = createSilentLog();
-  const watch = createStoreWatch(clock, log, { lost: () => undefined, returned: () => undefined });
+  const storeHealth = createStoreHealth(clock, log, {
+    lost: () => undefined,
+    returned: () => undefined,
+  });
   const lostAt = 2_000 + phaseMs;
   const backAt = lostAt + outageMs;
   const knownAfterMs: number[] = [];
@@ -111,9 +114,9 @@
       clock,
       random: { next: () => 0.99 },
       log,
-      watch,
+      storeHealth,
       signal: ending.signal,
-      mayRest: () => false,
+      mayPause: () => false,
       replaced: hear,
       changed: hear,
     });
