--- a/src/peers/discovery.ts
+++ b/src/peers/discovery.ts
@@ -1,87 +1,87 @@
 /**
- * Which addresses a gateway dials beside those of its partners, so that gateways find each other at the
- * start, and again after a network partition. Dead addresses cost each gateway less the more gateways
- * there are, since one of them that gets through is enough for all.
+ * Chooses addresses to dial beside those of partners, so that gateways discover each other at start and
+ * after a network partition. The dial rate for dead addresses is shared by all gateways, since one that
+ * connects is enough for all.
  */
 import type { RandomSource } from '../task/index.js';
 
-/** An address at which nobody answered for so long is forgotten, in ms. */
-const FORGET_MS = 60_000;
-/** Dials of each dead address by all gateways together between two heartbeats: one may itself be cut off,
- * and one may have just ended. */
-const DIALS_FOR_ALL = 3;
+/** Time after which an address without an answer is removed, in ms. */
+const RETENTION_MS = 60_000;
+/** Dials of each dead address per heartbeat interval, by all gateways together. More than one, since a
+ * dialling gateway may itself be cut off or stopping. */
+const FLEET_DIALS_PER_ADDRESS = 3;
 
-/** Addresses of which nothing is known but that a gateway was there once. */
+/** Addresses at which a gateway may be. */
 export interface Discovery {
-  /** Remembers an address; for good where the settings name it. */
+  /** Adds an address; one from the settings (a seed) does not expire. */
   addAddress(address: string, isSeed: boolean): void;
-  /** A gateway was met there, or it is this one's own address. */
+  /** Removes an address that is now known as a peer's or as this gateway's own. */
   removeAddress(address: string): void;
   /**
    * Chooses addresses to dial now.
    *
-   * @param need what the gateway knows
+   * @param state links and members of this gateway
    */
-  chooseAddresses(need: DiscoveryState): string[];
+  chooseAddresses(state: DiscoveryState): string[];
 }
 
-/** What the choice goes by. */
+/** Input of {@link Discovery.chooseAddresses}. */
 export interface DiscoveryState {
   now: number;
-  /** Links that the gateway lacks to be well connected. */
+  /** How many links the gateway lacks to be well connected. */
   missing: number;
-  /** Gateways that are believed alive. */
+  /** Number of peers believed alive. */
   alive: number;
-  /** Addresses of those that are believed lost. */
+  /** Addresses of peers believed lost. */
   lost: readonly string[];
 }
 
 interface KnownAddress {
-  learntAt: number;
+  addedAt: number;
   isSeed: boolean;
 }
 
 /**
  * Creates an empty set of addresses.
  *
- * @param clock tells when an address was learnt, in ms
- * @param random spreads the dials of all gateways over the addresses
+ * @param clock the gateway's clock, in ms
+ * @param random spreads the dials of the gateways over the addresses
  */
 export function createDiscovery(clock: { now(): number }, random: RandomSource): Discovery {
   const addresses = new Map<string, KnownAddress>();
 
-  function forgetOld(now: number): void {
-    for (const [address, { learntAt, isSeed }] of addresses) {
-      if (!isSeed && now - learntAt > FORGET_MS) addresses.delete(address);
+  function removeExpired(now: number): void {
+    for (const [address, { addedAt, isSeed }] of addresses) {
+      if (!isSeed && now - addedAt > RETENTION_MS) addresses.delete(address);
     }
   }
 
-  function draw(candidates: string[], count: number): string[] {
-    const drawn: string[] = [];
-    while (drawn.length < count && candidates.length > 0) {
+  function pickRandom(candidates: string[], count: number): string[] {
+    const picked: string[] = [];
+    while (picked.length < count && candidates.length > 0) {
       const index = Math.floor(random.next() * candidates.length);
-      drawn.push(...candidates.splice(index, 1));
+      picked.push(...candidates.splice(index, 1));
     }
-    return drawn;
+    return picked;
   }
 
   return {
     addAddress(address, isSeed) {
-      const known = addresses.get(address);
+      const previous = addresses.get(address);
       addresses.set(address, {
-        learntAt: clock.now(),
-        isSeed: isSeed || known?.isSeed === true,
+        addedAt: clock.now(),
+        isSeed: isSeed || previous?.isSeed === true,
       });
     },
     removeAddress(address) {
       addresses.delete(address);
     },
     chooseAddresses({ now, missing, alive, lost }) {
-      forgetOld(now);
+      removeExpired(now);
       const candidates = [...new Set([...addresses.keys(), ...lost])];
-      if (missing > 0) return draw(candidates, missing);
-      const share = (DIALS_FOR_ALL * candidates.length) / (alive + 1);
-      return random.next() < share ? draw(candidates, 1) : [];
+      if (missing > 0) return pickRandom(candidates, missing);
+      const chance = (FLEET_DIALS_PER_ADDRESS * candidates.length) / (alive + 1);
+      return random.next() < chance ? pickRandom(candidates, 1) : [];
     },
   };
 }
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -1,4 +1,4 @@
-/** Other gateways: who is there, and what they say to each other. */
+/** Gateway-to-gateway membership, links and messages. */
 export * from './membership.js';
 export * from './links.js';
 export * from './messages.js';
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -1,38 +1,37 @@
 /**
- * Connections between gateways. At most one link serves a peer; where both ends dialled, they agree
- * on which one stays. This module owns the sockets and decides nothing on who is there.
+ * WebSocket links between gateways. At most one link serves a peer; if both ends dialled, they agree on
+ * which link to keep. Membership is decided elsewhere.
  */
 import { WebSocket, WebSocketServer, type RawData } from 'ws';
 import type { Clock } from '../task/index.js';
 import { decodeMessage, encodeMessage, type GatewayState, type PeerMessage } from './messages.js';
 
-/** Longest time for a link to be made, in ms. */
+/** Timeout of a WebSocket handshake, in ms. */
 const DIAL_TIMEOUT_MS = 1_000;
-/** A link on which nothing was heard for so long gives way to one that is made in its place, in ms: two
- * heartbeats and a slow way. */
-const STALE_MS = 900;
-/** A link on which requests were scheduled is idle after so long, in ms: longer than any request goes on
- * without a message on it. */
-const IDLE_MS = 60_000;
-/** A link on which none ever was is idle after so long, in ms: time for its ends to become partners. */
-const UNUSED_MS = 5_000;
-/** Bytes that may wait on a link before heartbeats on it are left out: a peer that does not read must not
- * fill this process's memory. */
-const MAX_WAITING_BYTES = 1_000_000;
+/** Time without a message after which a replacement takes over from a link, in ms: two heartbeats and
+ * network delay. */
+const STALE_AFTER_MS = 900;
+/** Idle timeout of a link that carried requests, in ms; longer than any request goes without a message. */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Idle timeout of a link that carried none, in ms; leaves time for its ends to become partners. */
+const UNUSED_TIMEOUT_MS = 5_000;
+/** Buffered bytes above which heartbeats are skipped, so that a peer that does not read cannot exhaust this
+ * process's memory. */
+const MAX_BUFFERED_BYTES = 1_000_000;
 const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
-/** Who hears of links. */
+/** Receives the events of links. */
 export interface LinkListener {
-  /** This gateway's state, for introductions. */
+  /** This gateway's state, sent in introductions. */
   ownState(): GatewayState;
-  /** A peer has introduced itself on a link that serves it now. */
+  /** A peer has introduced itself and is linked. */
   opened(state: GatewayState): void;
   received(node: string, message: PeerMessage): void;
-  /** The last link to a peer has closed. */
+  /** The last link to a peer has isClosed. */
   closed(node: string): void;
-  /** A dial has failed; `isRefused` where a machine said that no process listens there. */
+  /** A dial has failed; `isRefused` if the connection was refused (ECONNREFUSED). */
   failed(address: string, isRefused: boolean): void;
-  /** The address is this gateway's own. */
+  /** The dialled address is this gateway's own. */
   selfDialled(address: string): void;
 }
 
@@ -40,15 +39,15 @@
 export interface PeerLinks {
   listen: (host: string, port: number) => Promise<void>;
   port: () => number;
-  /** Makes a link to an address unless one is being made. */
+  /** Dials an address unless a dial to it is in progress. */
   dial(address: string, isReplacement?: boolean): void;
-  /** Sends to a peer; false when there is no open link to it. */
+  /** Sends to a peer; false without an open link, or when a heartbeat is skipped. */
   send(node: string, message: PeerMessage): boolean;
   isLinked(node: string): boolean;
-  /** When a peer was last heard on its link, on the gateway's clock; `undefined` without a link. */
+  /** Time of the last message from a peer, on the gateway's clock; `undefined` without a link. */
   heardAt(node: string): number | undefined;
-  /** Peers on whose link nothing was scheduled lately; of those that this end dialled, since the other end
-   * may need what it dialled. */
+  /** Peers with an idle link that this end dialled. Links that the other end dialled are excluded, since that
+   * end may need them. */
   idle(): string[];
   /** Peers with a link. */
   nodes(): string[];
@@ -56,7 +55,7 @@
   close(): void;
 }
 
-/** Creates links for a listener. */
+/** Creates the links of a gateway. */
 export type LinksFactory = (clock: Clock, listener: LinkListener) => PeerLinks;
 
 interface Link {
@@ -64,9 +63,9 @@
   state: GatewayState | undefined;
   openedAt: number;
   heardAt: number;
-  /** When a message on a request last passed; `undefined` where none did. */
+  /** Time of the last message about a request; `undefined` if there was none. */
   usedAt: number | undefined;
-  /** Where this end dialled; `undefined` where the other one did. */
+  /** Address that this end dialled; `undefined` if the other end dialled. */
   address: string | undefined;
   isReplacement: boolean;
 }
@@ -74,19 +73,19 @@
 const serverOptions = { maxPayload: MAX_MESSAGE_BYTES, perMessageDeflate: false };
 
 /**
- * Creates links without any.
+ * Creates an empty set of links.
  *
  * @param clock the gateway's clock
- * @param listener hears what happens on them
+ * @param listener receives their events
  */
 export const createPeerLinks: LinksFactory = (clock, listener) => {
   const links = new Set<Link>();
   const byNode = new Map<string, Link>();
   const dialling = new Set<string>();
   let server: WebSocketServer | undefined;
-  let closed = false;
+  let isClosed = false;
 
-  function adopt(socket: WebSocket, address?: string, isReplacement = false): Link {
+  function addLink(socket: WebSocket, address?: string, isReplacement = false): Link {
     const now = clock.now();
     const link: Link = {
       socket,
@@ -121,7 +120,7 @@
       return;
     }
     byNode.delete(node);
-    if (!closed) listener.closed(node);
+    if (!isClosed) listener.closed(node);
   }
 
   function findSpare(node: string): Link | undefined {
@@ -132,7 +131,7 @@
   }
 
   function transmit(link: Link, message: PeerMessage): void {
-    if (isOnRequest(message)) link.usedAt = clock.now();
+    if (isAboutRequest(message)) link.usedAt = clock.now();
     link.socket.send(encodeMessage(message));
   }
 
@@ -149,15 +148,15 @@
     }
     link.heardAt = clock.now();
     if (message.kind === 'introduction') {
-      meet(link, message.state, message.isReplacement);
+      handleIntroduction(link, message.state, message.isReplacement);
       return;
     }
     if (link.state === undefined) return;
-    if (isOnRequest(message)) link.usedAt = link.heardAt;
+    if (isAboutRequest(message)) link.usedAt = link.heardAt;
     listener.received(link.state.node, message);
   }
 
-  function meet(link: Link, state: GatewayState, isReplacement: boolean): void {
+  function handleIntroduction(link: Link, state: GatewayState, isReplacement: boolean): void {
     const { node, incarnation } = state;
     if (node === listener.ownState().node) {
       if (link.address !== undefined) listener.selfDialled(link.address);
@@ -166,40 +165,40 @@
     }
     link.state = state;
     link.isReplacement ||= isReplacement;
-    const before = byNode.get(node);
-    if (before === undefined) byNode.set(node, link);
-    else if (before.state?.incarnation !== incarnation || isStale(before, link)) {
+    const previous = byNode.get(node);
+    if (previous === undefined) byNode.set(node, link);
+    else if (previous.state?.incarnation !== incarnation || isStale(previous, link)) {
       byNode.set(node, link);
-      drop(before);
-    } else settleTwin(before, link, node);
+      drop(previous);
+    } else resolveDuplicate(previous, link, node);
     listener.opened(state);
   }
 
-  function isStale(before: Link, link: Link): boolean {
-    return link.isReplacement && clock.now() - before.heardAt > STALE_MS;
+  function isStale(previous: Link, link: Link): boolean {
+    return link.isReplacement && clock.now() - previous.heardAt > STALE_AFTER_MS;
   }
 
   /**
-   * Both ends dialled at once. The link that the end with the smaller name dialled stays; that end
-   * closes the other one, so that the two ends never close both.
+   * Resolves two links to one peer after both ends dialled at once. The link dialled by the end with the
+   * smaller name is kept. Only that end closes the other link, so that the two ends never close both.
    */
-  function settleTwin(before: Link, link: Link, node: string): void {
+  function resolveDuplicate(previous: Link, link: Link, node: string): void {
     const isDialler = listener.ownState().node < node;
     const isOwn = (candidate: Link) => candidate.address !== undefined;
-    const staying = isOwn(link) === isDialler ? link : before;
-    byNode.set(node, staying);
-    if (isDialler) drop(staying === link ? before : link);
+    const kept = isOwn(link) === isDialler ? link : previous;
+    byNode.set(node, kept);
+    if (isDialler) drop(kept === link ? previous : link);
   }
 
   function isIdle({ address, openedAt, usedAt }: Link): boolean {
     if (address === undefined) return false;
-    if (usedAt === undefined) return clock.now() - openedAt > UNUSED_MS;
-    return clock.now() - usedAt > IDLE_MS;
+    if (usedAt === undefined) return clock.now() - openedAt > UNUSED_TIMEOUT_MS;
+    return clock.now() - usedAt > IDLE_TIMEOUT_MS;
   }
 
   function isWritable(link: Link, message: PeerMessage): boolean {
     if (link.socket.readyState !== WebSocket.OPEN) return false;
-    return message.kind !== 'beat' || link.socket.bufferedAmount < MAX_WAITING_BYTES;
+    return message.kind !== 'beat' || link.socket.bufferedAmount < MAX_BUFFERED_BYTES;
   }
 
   return {
@@ -212,7 +211,7 @@
           resolve();
         });
         created.on('connection', (socket) => {
-          introduce(adopt(socket));
+          introduce(addLink(socket));
         });
       });
     },
@@ -221,7 +220,7 @@
       return bound === undefined || bound === null || typeof bound === 'string' ? 0 : bound.port;
     },
     dial(address, isReplacement = false) {
-      if (closed || dialling.has(address)) return;
+      if (isClosed || dialling.has(address)) return;
       dialling.add(address);
       const options = { handshakeTimeout: DIAL_TIMEOUT_MS, ...serverOptions };
       const socket = new WebSocket(`ws://${address}`, options);
@@ -229,7 +228,7 @@
       socket.on('error', (error: NodeJS.ErrnoException) => {
         state.isRefused = error.code === 'ECONNREFUSED';
       });
-      const link = adopt(socket, address, isReplacement);
+      const link = addLink(socket, address, isReplacement);
       socket.on('open', () => {
         state.isOpen = true;
         dialling.delete(address);
@@ -237,7 +236,7 @@
       });
       socket.on('close', () => {
         dialling.delete(address);
-        if (!state.isOpen && !closed) listener.failed(address, state.isRefused);
+        if (!state.isOpen && !isClosed) listener.failed(address, state.isRefused);
       });
     },
     send(node, message) {
@@ -254,7 +253,7 @@
       for (let link = byNode.get(node); link !== undefined; link = byNode.get(node)) drop(link);
     },
     close() {
-      closed = true;
+      isClosed = true;
       for (const link of links) {
         link.socket.terminate();
       }
@@ -263,6 +262,6 @@
   };
 };
 
-function isOnRequest({ kind }: PeerMessage): boolean {
+function isAboutRequest({ kind }: PeerMessage): boolean {
   return kind.startsWith('job.') || kind.startsWith('trial.');
 }
--- a/src/peers/membership.ts
+++ b/src/peers/membership.ts
@@ -1,8 +1,7 @@
 /**
- * What a gateway believes of the others, and how beliefs spread: its own state, the states that it has
- * heard, and who is suspected. News goes from partner to partner, once over each link; a suspicion is
- * acted on by others once nobody has refuted it in time. Whose silence is noticed, and on which links
- * anything is sent, is decided elsewhere.
+ * Membership of the gateways, spread by gossip as in SWIM: each update crosses each link between partners
+ * once. A suspicion reported by a peer takes effect only if it is not refuted in time. The overlay detects
+ * silent partners and manages the links.
  */
 import { createMembers, createOutbox, hashName, type Members } from '../gossip/index.js';
 import type { Clock, Timer } from '../task/index.js';
@@ -10,72 +9,72 @@
 import { packUpdates, peerUpdateOrder, type PeerUpdate } from './updates.js';
 import { createPendingSuspicions } from './pending-suspicions.js';
 
-/** News that arrives within this time is passed on together, in ms. */
-const GATHER_MS = 20;
-/** Suspected gateways are forgotten after so long, in ms. */
-const FORGET_MS = 60_000;
+/** Updates that arrive within this time are sent in one message, in ms. */
+const BATCH_MS = 20;
+/** Retention of suspected gateways, in ms. */
+const RETENTION_MS = 60_000;
 
-/** What a gateway says of itself when it changes. */
+/** The part of a gateway's state that changes while it runs. */
 export type OwnStatus = Pick<GatewayState, 'isReady' | 'isFollowing'>;
 
-/** A gateway as it is known from its start. */
+/** The part of a gateway's state that is fixed at its start. */
 export type OwnIdentity = Omit<GatewayState, 'sequence' | keyof OwnStatus>;
 
-/** What beliefs need. */
+/** Dependencies of the membership. */
 export interface GatewayMembershipParts {
   clock: Clock;
   self: OwnIdentity;
   status(): OwnStatus;
-  /** Names of the partners at the moment. */
+  /** Names of the current partners. */
   partners(): readonly string[];
-  /** Whether a peer was heard on a link of its own a moment ago. */
+  /** Whether a peer has recently sent something over a direct link. */
   isResponsive(node: string): boolean;
   send(node: string, message: PeerMessage): void;
-  /** A peer is believed lost, or another incarnation has taken its place. */
+  /** Called when a peer is considered lost, or was replaced by another incarnation. */
   lost(node: string): void;
-  /** A state of a peer was taken in. */
+  /** Called after a peer's newer state was merged. */
   merged(state: GatewayState): void;
 }
 
-/** Names of peers found and lost since the last look. */
+/** Names of peers found and lost since the previous call. */
 export interface MembershipChanges {
   found: string[];
   lost: string[];
 }
 
-/** The beliefs of a gateway. */
+/** What a gateway knows of the others. */
 export interface GatewayMembership {
   members: Pick<Members<GatewayState>, 'alive' | 'suspected' | 'find' | 'isAlive'>;
   ownState: () => GatewayState;
-  /** Tells all others if this gateway's status has changed. */
+  /** Broadcasts this gateway's state if its status has changed. */
   publish: () => void;
-  /** Sends what partners have yet to hear. */
+  /** Sends queued updates now. */
   flush: () => void;
-  /** A peer introduced itself. */
+  /** Handles the state in which a peer introduced itself. */
   introductionReceived(state: GatewayState): void;
-  /** Takes in news of a partner, which is passed on. */
-  applyUpdates(news: PeerMessage & { kind: 'news' }, from: string): void;
-  /** Takes in all that a peer believes. It is not passed on: whoever lacks it asks as well. */
+  /** Applies updates from a partner and relays them. */
+  applyUpdates(updates: PeerMessage & { kind: 'news' }, from: string): void;
+  /** Applies a peer's whole view. It is not relayed: other gateways compare digests themselves. */
   applyView(view: PeerMessage & { kind: 'view' }): void;
-  /** Sends a peer all that is believed here. */
+  /** Sends the whole view to a peer. */
   sendView(node: string): void;
-  /** Tells a peer that is heard though it is suspected; it then refutes the suspicion for all. */
+  /** Sends a peer the suspicion against it, if there is one; the peer then refutes it to all gateways. */
   notifySuspected: (node: string) => void;
-  /** This gateway has found a peer silent. */
+  /** Marks a silent peer as lost and broadcasts the suspicion. */
   suspect(state: GatewayState): void;
-  /** Believes suspicions that nobody has refuted in time, and forgets what is long past. */
+  /** Marks peers as lost whose suspicions were not refuted in time, and removes old entries. */
   expire(now: number): void;
-  /** A number that is the same in all gateways that believe the same. */
+  /** Hash of the members alive; equal for equal views, whatever their order. */
   digest: () => number;
   drainChanges(): MembershipChanges;
-  /** Ends what waits to be sent. */
+  /** Cancels queued sends. */
   close(): void;
 }
 
 /**
- * Creates the beliefs of a gateway that knows nobody.
+ * Creates the membership of a gateway that knows no peers.
  *
- * @param parts who it is and how it reaches others
+ * @param parts this gateway's identity, its partners and the transport
  */
 export function createGatewayMembership(parts: GatewayMembershipParts): GatewayMembership {
   const { clock, self } = parts;
@@ -84,28 +83,28 @@
   const pending = createPendingSuspicions();
   const found = new Set<string>();
   const lost = new Set<string>();
-  let digest: { of: readonly GatewayState[]; sequence: number; value: number } | undefined;
+  let digest: { alive: readonly GatewayState[]; sequence: number; value: number } | undefined;
   let sequence = 1;
-  let told: OwnStatus = { isReady: false, isFollowing: false };
+  let published: OwnStatus = { isReady: false, isFollowing: false };
   let flushTimer: Timer | undefined;
   let isClosed = false;
 
   function ownState(): GatewayState {
-    return { ...self, sequence, ...told };
+    return { ...self, sequence, ...published };
   }
 
   function publish(): void {
     const { isReady, isFollowing } = parts.status();
-    if (isReady === told.isReady && isFollowing === told.isFollowing) return;
-    told = { isReady, isFollowing };
+    if (isReady === published.isReady && isFollowing === published.isFollowing) return;
+    published = { isReady, isFollowing };
     sequence += 1;
-    tell({ kind: 'state', record: ownState() });
+    broadcast({ kind: 'state', record: ownState() });
   }
 
-  function tell(item: PeerUpdate, from?: string): void {
+  function broadcast(item: PeerUpdate, from?: string): void {
     outbox.add(item, from);
     if (isClosed) return;
-    flushTimer ??= clock.after(GATHER_MS, flush);
+    flushTimer ??= clock.after(BATCH_MS, flush);
   }
 
   function flush(): void {
@@ -117,28 +116,28 @@
     }
   }
 
-  function challenge(node: string): void {
+  function notifySuspected(node: string): void {
     const known = members.find(node);
     if (known?.suspectedAt === undefined) return;
-    const record = resolveSuspicion(known.state);
+    const record = createSuspicion(known.state);
     parts.send(node, packUpdates('news', [{ kind: 'suspicion', record }]));
   }
 
-  function takeNews(news: PeerMessage & { kind: 'news' }, from: string): void {
-    for (const state of news.states) {
-      takeState(state, from);
+  function applyUpdates(updates: PeerMessage & { kind: 'news' }, from: string): void {
+    for (const state of updates.states) {
+      applyState(state, from);
     }
-    for (const suspicion of news.suspicions) {
-      takeSuspicion(suspicion, from);
+    for (const suspicion of updates.suspicions) {
+      applySuspicion(suspicion, from);
     }
   }
 
-  function takeView({ states, suspicions }: PeerMessage & { kind: 'view' }): void {
+  function applyView({ states, suspicions }: PeerMessage & { kind: 'view' }): void {
     for (const state of states) {
-      if (state.node !== self.node) learn(state, false);
+      if (state.node !== self.node) merge(state, false);
     }
     for (const suspicion of suspicions) {
-      takeSuspicion(suspicion);
+      applySuspicion(suspicion);
     }
   }
 
@@ -146,36 +145,36 @@
     const items: PeerUpdate[] = [{ kind: 'state', record: ownState() }];
     for (const { state, suspectedAt } of members.all()) {
       if (suspectedAt === undefined) items.push({ kind: 'state', record: state });
-      else items.push({ kind: 'suspicion', record: resolveSuspicion(state) });
+      else items.push({ kind: 'suspicion', record: createSuspicion(state) });
     }
     parts.send(node, packUpdates('view', items));
   }
 
-  function takeState(state: GatewayState, from: string, isOwnWord = false): void {
+  function applyState(state: GatewayState, from: string, isFirstHand = false): void {
     if (state.node === self.node) {
-      // whoever takes an earlier process for this one is told of this one
-      if (state.incarnation !== self.incarnation) tell({ kind: 'state', record: ownState() });
+      // the sender knows an earlier process of this node
+      if (state.incarnation !== self.incarnation) broadcast({ kind: 'state', record: ownState() });
       return;
     }
     const item: PeerUpdate = { kind: 'state', record: state };
-    if (learn(state, isOwnWord)) tell(item, from);
+    if (merge(state, isFirstHand)) broadcast(item, from);
     else outbox.markKnown(item, from);
   }
 
-  function learn(state: GatewayState, isOwnWord: boolean): boolean {
+  function merge(state: GatewayState, isFirstHand: boolean): boolean {
     const { node, incarnation } = state;
     const known = members.find(node);
-    const before = known?.state.incarnation;
+    const previous = known?.state.incarnation;
     const wasAlive = members.isAlive(node);
-    if (!members.merge(state, isOwnWord)) return false;
+    if (!members.merge(state, isFirstHand)) return false;
     pending.refuted(node);
     parts.merged(state);
     if (!wasAlive) found.add(node);
-    if (before !== undefined && before !== incarnation) parts.lost(node);
+    if (previous !== undefined && previous !== incarnation) parts.lost(node);
     return true;
   }
 
-  function takeSuspicion(suspicion: GatewaySuspicion, from?: string): void {
+  function applySuspicion(suspicion: GatewaySuspicion, from?: string): void {
     const { node, incarnation } = suspicion;
     if (node === self.node) {
       if (incarnation === self.incarnation) refute(suspicion, from);
@@ -187,37 +186,36 @@
     if (from !== undefined) outbox.markKnown(item, from);
     if (known.suspectedAt !== undefined) return;
     if (known.state.sequence > suspicion.sequence) {
-      if (from !== undefined) answer(from, known.state);
+      if (from !== undefined) sendState(from, known.state);
       return;
     }
     if (parts.isResponsive(node)) {
       parts.send(node, packUpdates('news', [item]));
       return;
     }
-    if (pending.add(suspicion, clock.now()) && from !== undefined) tell(item, from);
+    if (pending.add(suspicion, clock.now()) && from !== undefined) broadcast(item, from);
   }
 
-  /** A greater sequence, told to all, refutes the suspicion. */
+  /** Refutes a suspicion by broadcasting a greater sequence. */
   function refute(suspicion: GatewaySuspicion, from: string | undefined): void {
     if (suspicion.sequence < sequence) {
-      if (from !== undefined) answer(from, ownState());
+      if (from !== undefined) sendState(from, ownState());
       return;
     }
     sequence = suspicion.sequence + 1;
-    tell({ kind: 'state', record: ownState() });
+    broadcast({ kind: 'state', record: ownState() });
   }
 
-  /** Tells one peer what it has missed. */
-  function answer(node: string, state: GatewayState): void {
+  function sendState(node: string, state: GatewayState): void {
     parts.send(node, packUpdates('news', [{ kind: 'state', record: state }]));
   }
 
   function suspect(state: GatewayState): void {
-    const record = resolveSuspicion(state);
-    if (believeLost(record)) tell({ kind: 'suspicion', record });
+    const record = createSuspicion(state);
+    if (markLost(record)) broadcast({ kind: 'suspicion', record });
   }
 
-  function believeLost(suspicion: GatewaySuspicion): boolean {
+  function markLost(suspicion: GatewaySuspicion): boolean {
     const { node } = suspicion;
     if (!members.suspect(suspicion, clock.now())) return false;
     lost.add(node);
@@ -225,15 +223,14 @@
     return true;
   }
 
-  /** The same in all gateways that believe the same. */
-  function resolveDigest(): number {
-    const of = members.alive();
-    if (digest?.of === of && digest.sequence === sequence) return digest.value;
+  function computeDigest(): number {
+    const alive = members.alive();
+    if (digest?.alive === alive && digest.sequence === sequence) return digest.value;
     let value = hashState(ownState());
-    for (const state of of) {
+    for (const state of alive) {
       value = (value + hashState(state)) >>> 0;
     }
-    digest = { of, sequence, value };
+    digest = { alive, sequence, value };
     return value;
   }
 
@@ -243,21 +240,21 @@
     publish,
     flush,
     introductionReceived(state) {
-      takeState(state, state.node, true);
-      challenge(state.node);
+      applyState(state, state.node, true);
+      notifySuspected(state.node);
     },
-    applyUpdates: takeNews,
-    applyView: takeView,
+    applyUpdates,
+    applyView,
     sendView,
-    notifySuspected: challenge,
+    notifySuspected,
     suspect,
     expire(now) {
       for (const suspicion of pending.takeExpired(now)) {
-        believeLost(suspicion);
+        markLost(suspicion);
       }
-      members.forget(now, FORGET_MS);
+      members.forget(now, RETENTION_MS);
     },
-    digest: resolveDigest,
+    digest: computeDigest,
     drainChanges() {
       const changes = { found: [...found], lost: [...lost] };
       found.clear();
@@ -275,6 +272,6 @@
   return hashName(`${node}/${incarnation}/${sequence}`);
 }
 
-function resolveSuspicion({ node, incarnation, sequence }: GatewayState): GatewaySuspicion {
+function createSuspicion({ node, incarnation, sequence }: GatewayState): GatewaySuspicion {
   return { node, incarnation, sequence };
 }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What gateways say to each other. Everything is a notice: nothing waits for an answer, and a lost
- * message is made good by the next heartbeat.
+ * Messages between gateways. All are one-way: no sender waits for a reply, and heartbeats make up for lost
+ * messages.
  */
 import { Packr } from 'msgpackr';
 import * as z from 'zod';
@@ -12,7 +12,7 @@
 import { jobSchema, placementSchema } from '../scheduling/job.js';
 
 const serverSchema = z.object({
-  /** The name of its entry; with its start it names the incarnation. */
+  /** Name of its registry entry; together with `bornAtMs` it identifies the incarnation. */
   id: z.string(),
   bornAtMs: z.number().optional(),
   service: z.string(),
@@ -33,12 +33,12 @@
     .optional(),
 });
 
-/** What a gateway says of itself, passed on to all others when it changes. */
+/** A gateway's own state, gossiped to all others when it changes. */
 export const gatewayStateSchema = z.object({
   node: z.string(),
-  /** Differs for each start of the process. */
+  /** Unique for each start of the process. */
   incarnation: z.string(),
-  /** Grows with each state that the gateway tells of itself. */
+  /** Increases with each state that the gateway publishes. */
   sequence: z.number(),
   /** `host:port` for peers. */
   address: z.string(),
@@ -47,16 +47,16 @@
   zone: z.string(),
   /** Cores that the gateway may use. */
   cores: z.number(),
-  /** Takes callers' requests. */
+  /** Accepts callers' requests. */
   isReady: z.boolean(),
-  /** It follows the store by itself, and the store answers it. */
+  /** Follows the store directly, and the store answers. */
   isFollowing: z.boolean(),
 });
 
 const suspicionSchema = z.object({
   node: z.string(),
   incarnation: z.string(),
-  /** The last sequence that was heard; a newer one refutes the suspicion. */
+  /** Latest sequence known to the suspecting gateway; a greater one refutes the suspicion. */
   sequence: z.number(),
 });
 
@@ -64,15 +64,15 @@
 const introductionSchema = z.object({
   kind: z.literal('introduction'),
   state: gatewayStateSchema,
-  /** The link takes the place of one on which nothing was heard. */
+  /** The link replaces one that went silent. */
   isReplacement: z.boolean(),
 });
 
-/** How far a gateway knows what the store holds. */
+/** Versions of the store's contents that a gateway has. */
 const versionsFields = {
-  /** Version of the routes in force there. */
+  /** Version of the routes in force. */
   routes: z.number(),
-  /** Newest revision of the registry known there. */
+  /** Newest known revision of the registry. */
   fleet: z.number(),
 };
 
@@ -82,24 +82,24 @@
   ...versionsFields,
   /** The sender has chosen the receiver as its partner. */
   isChosen: z.boolean(),
-  /** Of all gateways that the sender believes alive, itself included. */
+  /** Digest of the gateways that the sender believes alive, itself included. */
   digest: z.number(),
-  /** Of what the sender knows of requests under which servers ended. */
+  /** Digest of the sender's records of requests during which servers crashed. */
   crashDigest: z.number().default(0),
-  /** Of what the sender knows that servers ask of all gateways. */
+  /** Digest of the servers' notices (limits, leaving) that the sender knows. */
   noticeDigest: z.number().default(0),
 });
-/** Said as soon as a version is new. */
+/** Announces new versions without waiting for the next heartbeat. */
 const versionsSchema = z.object({ kind: z.literal('versions'), ...versionsFields });
-const toldFields = {
+const membershipFields = {
   states: z.array(gatewayStateSchema),
   suspicions: z.array(suspicionSchema),
 };
-/** What has changed; it is passed on. */
-const newsSchema = z.object({ kind: z.literal('news'), ...toldFields });
-/** All that the sender believes, for one that asked for it. */
-const viewSchema = z.object({ kind: z.literal('view'), ...toldFields });
-/** Asks for what the receiver knows beyond a version. */
+/** Membership updates, which the receiver relays. */
+const newsSchema = z.object({ kind: z.literal('news'), ...membershipFields });
+/** The sender's whole membership view, on request. */
+const viewSchema = z.object({ kind: z.literal('view'), ...membershipFields });
+/** Requests what the receiver has beyond a version. */
 const wantSchema = z.object({
   kind: z.literal('want'),
   what: z.enum(['routes', 'fleet', 'view']),
@@ -108,7 +108,7 @@
 const fleetSchema = z.object({
   kind: z.literal('fleet'),
   changes: z.array(registryChangeSchema),
-  /** With these changes the receiver knows all up to this revision. */
+  /** Revision up to which the receiver is complete with these changes. */
   revision: z.number(),
 });
 
@@ -118,7 +118,7 @@
   job: jobSchema,
   placement: placementSchema,
 });
-/** The job has arrived and waits for its decision. */
+/** The job was received and awaits its placement. */
 const queuedSchema = z.object({ kind: z.literal('job.queued'), id: z.string() });
 const placedSchema = z.object({
   kind: z.literal('job.placed'),
@@ -137,7 +137,7 @@
 const finishedSchema = z.object({
   kind: z.literal('job.finished'),
   id: z.string(),
-  /** What became of it at the engine that had it last. */
+  /** Outcome at the last engine that had it. */
   outcome: healthOutcomeSchema.optional(),
 });
 
@@ -166,26 +166,25 @@
 
 /** A message between gateways. */
 export type PeerMessage = z.infer<typeof messageSchema>;
-/** A message that is not for the overlay itself. */
+/** A message that the overlay hands to the gateway. */
 export type GatewayMessage = Exclude<
   PeerMessage,
   { kind: 'introduction' | 'beat' | 'news' | 'view' }
 >;
-/** What a gateway says of itself. */
+/** A gateway's own state. */
 export type GatewayState = z.infer<typeof gatewayStateSchema>;
-/** Says that a gateway is silent. */
+/** Reports that a gateway is silent. */
 export type GatewaySuspicion = z.infer<typeof suspicionSchema>;
-/** How far a gateway knows what the store holds. */
+/** Versions of the store's contents that a gateway has. */
 export type StoreVersions = Omit<z.infer<typeof versionsSchema>, 'kind'>;
 
 const packr = new Packr({ useRecords: false, encodeUndefinedAsNil: false });
 
-/** Encodes a message. */
 export function encodeMessage(message: PeerMessage): Buffer {
   return packr.pack(message);
 }
 
-/** Decodes a message; `undefined` when the bytes are none. */
+/** Decodes a message; `undefined` if the bytes are not a valid one. */
 export function decodeMessage(bytes: Uint8Array): PeerMessage | undefined {
   try {
     const parsed = messageSchema.safeParse(packr.unpack(bytes));
--- a/src/peers/overlay.ts
+++ b/src/peers/overlay.ts
@@ -1,8 +1,8 @@
 /**
- * The way to the other gateways. Each exchanges heartbeats with a bounded number of partners, whatever the
- * size of the fleet, and notices when one of them is silent; what it believes of all (`beliefs.ts`) goes
- * from partner to partner. Links to others, as to a scheduler, are made when they are needed. A fleet no
- * larger than the number of partners is a full mesh.
+ * Overlay network of the gateways. Each gateway exchanges heartbeats with a bounded number of partners and
+ * suspects silent ones; the membership (`membership.ts`) spreads by gossip over the same links. Links to
+ * other peers, such as schedulers, are opened on demand. A fleet no larger than the number of partners is a
+ * full mesh.
  */
 import type { Log } from '../events/index.js';
 import { choosePeers, createPartners } from '../gossip/index.js';
@@ -12,41 +12,40 @@
 import type { GatewayMessage, GatewayState, PeerMessage, StoreVersions } from './messages.js';
 import { createDiscovery } from './discovery.js';
 
-/** Time between two heartbeats, in ms: what a gateway has missed must reach it well within the two seconds
- * that a change may take. */
-const BEAT_MS = 400;
-/** Partners of a gateway in a large fleet, those that chose it included: with half of all gateways lost at
- * once, those that are left stay connected. */
+/** Heartbeat interval, in ms. A missed update must arrive well within the two seconds allowed for a change. */
+const HEARTBEAT_MS = 400;
+/** Partners of a gateway in a large fleet, including those that chose it. The overlay stays connected when
+ * half of the gateways are lost at once. */
 const PARTNERS = 12;
-/** A partner that was silent for so long is dialled once more, in ms, since a connection may go silent
- * without an error: two heartbeats and a slow way. */
-const REDIAL_MS = 900;
-/** A partner is suspected after so long without a message, in ms: three heartbeats and a slow way. */
-const SILENT_MS = 1_500;
-/** Two gateways whose beliefs differ for so long compare them, in ms: news still under way settles most
- * differences by itself. */
-const COMPARE_MS = 1_000;
-/** A gateway that has heard nobody for so long is cut off itself, in ms: two heartbeats and a slow way. It is
- * shorter by more than a heartbeat than the time after which a partner is suspected, or those that spoke first
- * before the cut would be. */
-const ALONE_MS = 1_050;
-/** A timer that fires this much late shows that the process itself stood still, in ms: what was sent to it
- * meanwhile is read after the timer. */
-const STANDSTILL_MS = 600;
-/** Names of found and lost gateways in one line of the log at most. */
+/** Silence after which a partner is dialled again, in ms, since a connection can die without an error: two
+ * heartbeats and network delay. */
+const REDIAL_AFTER_MS = 900;
+/** Silence after which a partner is suspected, in ms: three heartbeats and network delay. */
+const SUSPECT_AFTER_MS = 1_500;
+/** Time for which digests must differ before views are compared, in ms; updates in flight resolve most
+ * differences. */
+const COMPARE_AFTER_MS = 1_000;
+/** Silence of all peers after which this gateway is isolated, in ms: two heartbeats and network delay. Must be
+ * shorter than the suspicion timeout by more than one heartbeat, or an isolated gateway would suspect the
+ * partners that sent first before the partition. */
+const ISOLATED_AFTER_MS = 1_050;
+/** Lateness of the timer that shows that this process was stalled, in ms. Messages that arrived meanwhile are
+ * read only after the timer has fired. */
+const STALL_MS = 600;
+/** Most names of found and of lost gateways in one log line. */
 const MAX_LOGGED_NAMES = 16;
-/** Messages that wait for a link at most; a peer that cannot be reached for so many is lost. */
-const MAX_WAITING = 1_000;
+/** Most messages queued for a link that is being opened; further ones are not sent. */
+const MAX_QUEUED = 1_000;
 
-/** Numbers that are the same in all gateways that know the same. */
+/** Digests of gossiped data; equal on gateways with equal data. */
 export interface StateDigests {
-  /** Of requests under which servers ended. */
+  /** Of requests during which servers crashed. */
   crashes: number;
-  /** Of what servers ask of all gateways. */
+  /** Of servers' notices to all gateways. */
   notices: number;
 }
 
-/** What the overlay needs. */
+/** Dependencies of the overlay. */
 export interface OverlayParts {
   clock: Clock;
   random: RandomSource;
@@ -55,37 +54,37 @@
   status(): OwnStatus;
   versions(): StoreVersions;
   digests(): StateDigests;
-  /** Peers to keep a link to though they are no partners. */
+  /** Peers to stay linked to although they are not partners. */
   requiredPeers(): Iterable<string>;
   received(node: string, message: GatewayMessage): void;
-  /** A partner's heartbeat said how far it knows the store. */
+  /** Called with the store versions in a partner's heartbeat. */
   versionsReceived(node: string, versions: StoreVersions): void;
-  /** A partner's heartbeat said its digests. */
+  /** Called with the digests in a partner's heartbeat. */
   digestsReceived(node: string, digests: StateDigests): void;
-  /** The link to a peer was lost, the peer is silent, or another incarnation has taken its place. */
+  /** Called when the link to a peer closed, the peer was lost, or another incarnation replaced it. */
   lost(node: string): void;
-  /** Makes links; real ones where absent. */
+  /** Creates the links; WebSocket links by default. */
   createLinks?: LinksFactory;
 }
 
-/** The gateways that a gateway knows, and the way to them. */
+/** The known peers and the transport to them. */
 export interface Overlay {
   listen(host: string, port: number): Promise<void>;
-  /** Begins to look for peers and to exchange heartbeats. */
+  /** Starts discovery and heartbeats. */
   start(): void;
   port(): number;
-  /** Learns of an address at which a gateway may be; `isSeed` where the settings name it. */
+  /** Adds an address at which a gateway may be; `isSeed` if it comes from the settings. */
   addAddress: (address: string, isSeed?: boolean) => void;
-  /** Peers believed alive, ordered by name; the same array until it changes. Empty while this gateway
-   * hears nobody. */
+  /** Peers believed alive, ordered by name; the same array until it changes. Empty while this gateway is
+   * isolated. */
   peers(): readonly GatewayState[];
-  /** Whether there are partners, and any peer was heard a moment ago. */
+  /** Whether there are partners and this gateway is not isolated. */
   isConnected: () => boolean;
-  /** Sends to a peer, making a link where there is none; false when the peer is not known. */
+  /** Sends to a peer, opening a link if needed; false if the peer is unknown, lost or its queue is full. */
   send(node: string, message: PeerMessage): boolean;
   /** Sends to all partners. */
   broadcast(message: PeerMessage): void;
-  /** Tells all gateways at once that this one's status has changed. */
+  /** Sends this gateway's status now if it has changed. */
   publish(): void;
   close(): void;
 }
@@ -93,194 +92,197 @@
 /**
  * Creates an overlay without links.
  *
- * @param parts who this gateway is and who listens
+ * @param parts this gateway's identity, its data and the callbacks
  */
 export function createOverlay(parts: OverlayParts): Overlay {
   const { clock, log, self } = parts;
   const partners = createPartners();
-  const probing = createDiscovery(clock, parts.random);
-  /** Messages for peers to which a link is being made. */
-  const waiting = new Map<string, PeerMessage[]>();
-  /** Peers that have not answered yet, since when. */
-  const expecting = new Map<string, number>();
-  /** Partners that believe something else, since when. */
+  const discovery = createDiscovery(clock, parts.random);
+  /** Messages queued while a link to their peer is being opened. */
+  const queued = new Map<string, PeerMessage[]>();
+  /** Since when peers owe an answer to a submitted job. */
+  const awaiting = new Map<string, number>();
+  /** Since when partners' digests differ from the own one. */
   const differing = new Map<string, number>();
-  const nobody: readonly GatewayState[] = [];
-  let chosenOf: readonly GatewayState[] | undefined;
+  const noPeers: readonly GatewayState[] = [];
+  let chosenFrom: readonly GatewayState[] | undefined;
   let chosen = new Set<string>();
-  /** When any peer was last heard. */
+  /** Time of the last message from any peer. */
   let heardAt = Number.NEGATIVE_INFINITY;
   let wasIsolated = false;
-  let comparedAt = Number.NEGATIVE_INFINITY;
-  let tendedAt = clock.now();
-  let beatTimer: Timer | undefined;
+  let lastComparedAt = Number.NEGATIVE_INFINITY;
+  let lastTickAt = clock.now();
+  let heartbeatTimer: Timer | undefined;
   let isClosed = false;
 
-  const beliefs = createGatewayMembership({
+  const membership = createGatewayMembership({
     clock,
     self,
     status: () => parts.status(),
     partners: () => partners.names(),
-    isResponsive: wasHeardLately,
+    isResponsive: wasHeardRecently,
     send(node, message) {
       links.send(node, message);
     },
     lost,
     merged(state) {
-      probing.removeAddress(state.address);
+      discovery.removeAddress(state.address);
     },
   });
-  const { members } = beliefs;
+  const { members } = membership;
   const links = (parts.createLinks ?? createPeerLinks)(clock, {
-    ownState: beliefs.ownState,
+    ownState: membership.ownState,
     opened,
     received: receive,
     closed,
     failed,
     selfDialled(address) {
-      probing.removeAddress(address);
+      discovery.removeAddress(address);
     },
   });
 
   function opened(state: GatewayState): void {
     const { node } = state;
-    probing.removeAddress(state.address);
-    const knewNobody = members.alive().length === 0;
-    beliefs.introductionReceived(state);
-    for (const message of waiting.get(node) ?? []) {
+    discovery.removeAddress(state.address);
+    const hadNoPeers = members.alive().length === 0;
+    membership.introductionReceived(state);
+    for (const message of queued.get(node) ?? []) {
       links.send(node, message);
     }
-    waiting.delete(node);
-    if (knewNobody) compare(node);
-    if (partners.has(node)) sendBeat(node);
+    queued.delete(node);
+    if (hadNoPeers) compare(node);
+    if (partners.has(node)) sendHeartbeat(node);
   }
 
-  /** A peer that is believed lost, or the incarnation before of one that is there. */
+  /** Handles a lost peer, or a replaced incarnation of a live one. */
   function lost(node: string): void {
     if (!members.isAlive(node)) {
       partners.remove(node);
-      waiting.delete(node);
+      queued.delete(node);
     }
-    // a link that closes tells the same
+    // dropping the link reports the loss through `closed`
     if (!members.isAlive(node) && links.isLinked(node)) links.drop(node);
     else parts.lost(node);
   }
 
   function closed(node: string): void {
-    expecting.delete(node);
+    awaiting.delete(node);
     differing.delete(node);
     const state = members.find(node)?.state;
     if (partners.has(node) && state !== undefined) links.dial(state.address);
     parts.lost(node);
   }
 
-  /** A machine that answers that no process listens has lost its gateway; silence may be a slow way. */
+  /** A refused dial shows that the peer's process ended; a timeout may be network delay. */
   function failed(address: string, isRefused: boolean): void {
     for (const state of members.alive()) {
       const { node } = state;
       if (state.address !== address || links.isLinked(node)) continue;
-      if (waiting.delete(node)) parts.lost(node);
-      if (isRefused) beliefs.suspect(state);
+      if (queued.delete(node)) parts.lost(node);
+      if (isRefused) membership.suspect(state);
     }
   }
 
-  /** One that hears nobody is cut off itself, and knows nothing of the others. */
+  /** Whether this gateway itself seems to be cut off; it then suspects noPeers. */
   function isIsolated(): boolean {
-    return partners.names().length > 0 && clock.now() - heardAt > ALONE_MS;
+    return partners.names().length > 0 && clock.now() - heardAt > ISOLATED_AFTER_MS;
   }
 
   function receive(node: string, message: PeerMessage): void {
-    // whoever was not heard meanwhile has its time anew
+    // partners could not be heard while this gateway was isolated
     if (isIsolated()) partners.resetSilence(clock.now());
     heardAt = clock.now();
-    expecting.delete(node);
-    if (message.kind === 'beat') takeBeat(node, message);
-    else if (message.kind === 'news') beliefs.applyUpdates(message, node);
-    else if (message.kind === 'view') beliefs.applyView(message);
-    else if (message.kind === 'want' && message.what === 'view') beliefs.sendView(node);
+    awaiting.delete(node);
+    if (message.kind === 'beat') handleHeartbeat(node, message);
+    else if (message.kind === 'news') membership.applyUpdates(message, node);
+    else if (message.kind === 'view') membership.applyView(message);
+    else if (message.kind === 'want' && message.what === 'view') membership.sendView(node);
     else if (message.kind !== 'introduction') parts.received(node, message);
   }
 
-  function takeBeat(node: string, beat: PeerMessage & { kind: 'beat' }): void {
+  function handleHeartbeat(node: string, heartbeat: PeerMessage & { kind: 'beat' }): void {
     const now = clock.now();
-    partners.recordHeartbeatReceived(node, beat.isChosen, now);
-    beliefs.notifySuspected(node);
-    if (beat.digest === beliefs.digest()) differing.delete(node);
-    else noteDifference(node, now);
-    parts.versionsReceived(node, beat);
-    parts.digestsReceived(node, { crashes: beat.crashDigest, notices: beat.noticeDigest });
+    partners.recordHeartbeatReceived(node, heartbeat.isChosen, now);
+    membership.notifySuspected(node);
+    if (heartbeat.digest === membership.digest()) differing.delete(node);
+    else recordDifference(node, now);
+    parts.versionsReceived(node, heartbeat);
+    parts.digestsReceived(node, {
+      crashes: heartbeat.crashDigest,
+      notices: heartbeat.noticeDigest,
+    });
   }
 
-  function noteDifference(node: string, now: number): void {
+  function recordDifference(node: string, now: number): void {
     const since = differing.get(node) ?? now;
     differing.set(node, since);
-    if (now - since >= COMPARE_MS && now - comparedAt >= COMPARE_MS) compare(node);
+    if (now - since >= COMPARE_AFTER_MS && now - lastComparedAt >= COMPARE_AFTER_MS) compare(node);
   }
 
   function compare(node: string): void {
-    comparedAt = clock.now();
+    lastComparedAt = clock.now();
     differing.delete(node);
     links.send(node, { kind: 'want', what: 'view', after: 0 });
   }
 
-  function wasHeardLately(node: string): boolean {
+  function wasHeardRecently(node: string): boolean {
     const heardAt = partners.has(node) ? links.heardAt(node) : undefined;
-    return heardAt !== undefined && clock.now() - heardAt < REDIAL_MS;
+    return heardAt !== undefined && clock.now() - heardAt < REDIAL_AFTER_MS;
   }
 
-  function tend(): void {
+  function tick(): void {
     if (isClosed) return;
     const now = clock.now();
-    // what others have sent meanwhile is read after this timer
-    if (now - tendedAt > BEAT_MS + STANDSTILL_MS) forgiveAll(now);
-    tendedAt = now;
-    dropSilentLinks(now);
-    watchPartners(now);
-    beliefs.expire(now);
+    // messages that arrived during a stall are read only after this timer
+    if (now - lastTickAt > HEARTBEAT_MS + STALL_MS) resetSilence(now);
+    lastTickAt = now;
+    dropUnansweredLinks(now);
+    checkPartners(now);
+    membership.expire(now);
     linkPartners(now);
-    probe(now);
+    discoverPeers(now);
     closeIdle();
-    beliefs.publish();
-    beliefs.flush();
+    membership.publish();
+    membership.flush();
     for (const partner of partners.names()) {
-      sendBeat(partner);
+      sendHeartbeat(partner);
       partners.recordHeartbeatSent(partner);
     }
     logChanges();
-    beatTimer = clock.after(BEAT_MS, tend);
+    heartbeatTimer = clock.after(HEARTBEAT_MS, tick);
   }
 
-  /** A peer that does not answer sits behind a connection that has gone silent, or is gone. */
-  function dropSilentLinks(now: number): void {
-    for (const [node, since] of expecting) {
-      if (now - since <= SILENT_MS) continue;
-      expecting.delete(node);
+  /** Drops links to peers that did not answer in time. */
+  function dropUnansweredLinks(now: number): void {
+    for (const [node, since] of awaiting) {
+      if (now - since <= SUSPECT_AFTER_MS) continue;
+      awaiting.delete(node);
       links.drop(node);
     }
   }
 
-  function watchPartners(now: number): void {
-    for (const node of partners.silent(now, REDIAL_MS)) {
+  function checkPartners(now: number): void {
+    for (const node of partners.silent(now, REDIAL_AFTER_MS)) {
       const address = members.find(node)?.state.address;
       if (address !== undefined && links.isLinked(node)) links.dial(address, true);
     }
-    for (const node of partners.silent(now, SILENT_MS)) {
+    for (const node of partners.silent(now, SUSPECT_AFTER_MS)) {
       const state = members.find(node)?.state;
       if (isIsolated() || state === undefined) links.drop(node);
-      else beliefs.suspect(state);
+      else membership.suspect(state);
       if (state === undefined) partners.remove(node);
     }
   }
 
-  function forgiveAll(now: number): void {
+  function resetSilence(now: number): void {
     partners.resetSilence(now);
     heardAt = now;
   }
 
   function linkPartners(now: number): void {
     const alive = members.alive();
-    if (alive !== chosenOf) {
-      chosenOf = alive;
+    if (alive !== chosenFrom) {
+      chosenFrom = alive;
       chosen = new Set(choosePeers(self.node, alive, PARTNERS).map(({ node }) => node));
     }
     partners.choose(chosen, now);
@@ -297,15 +299,15 @@
     return address !== undefined;
   }
 
-  function probe(now: number): void {
-    // one that is cut off does not know who is lost
+  function discoverPeers(now: number): void {
+    // an isolated gateway cannot tell which peers are lost
     const candidates = isIsolated()
       ? [...members.suspected(), ...members.alive()]
       : members.suspected();
     const addresses = candidates.map(({ address }) => address);
     const missing = PARTNERS / 2 - links.nodes().length;
     const alive = members.alive().length;
-    for (const address of probing.chooseAddresses({ now, missing, alive, lost: addresses })) {
+    for (const address of discovery.chooseAddresses({ now, missing, alive, lost: addresses })) {
       links.dial(address);
     }
   }
@@ -319,24 +321,24 @@
     }
   }
 
-  function sendBeat(node: string): void {
+  function sendHeartbeat(node: string): void {
     const isChosen = partners.isChosen(node);
     const { crashes, notices } = parts.digests();
     links.send(node, {
       kind: 'beat',
       ...parts.versions(),
       isChosen,
-      digest: beliefs.digest(),
+      digest: membership.digest(),
       crashDigest: crashes,
       noticeDigest: notices,
     });
   }
 
   function logChanges(): void {
-    const { found, lost } = beliefs.drainChanges();
-    const isAlone = isIsolated();
-    if (found.length === 0 && lost.length === 0 && isAlone === wasIsolated) return;
-    wasIsolated = isAlone;
+    const { found, lost } = membership.drainChanges();
+    const isNowIsolated = isIsolated();
+    if (found.length === 0 && lost.length === 0 && isNowIsolated === wasIsolated) return;
+    wasIsolated = isNowIsolated;
     log.write('gatewaysChanged', {
       found: found.slice(0, MAX_LOGGED_NAMES),
       lost: lost.slice(0, MAX_LOGGED_NAMES),
@@ -344,35 +346,35 @@
       lostCount: lost.length,
       alive: members.alive().length,
       links: links.nodes().length,
-      isIsolated: isAlone,
+      isIsolated: isNowIsolated,
     });
   }
 
   function send(node: string, message: PeerMessage): boolean {
     if (links.send(node, message)) {
-      if (message.kind === 'job.submit' && !expecting.has(node)) expecting.set(node, clock.now());
+      if (message.kind === 'job.submit' && !awaiting.has(node)) awaiting.set(node, clock.now());
       return true;
     }
     if (!link(node)) return false;
-    const queue = waiting.get(node) ?? [];
-    waiting.set(node, queue);
-    if (queue.length >= MAX_WAITING) return false;
+    const queue = queued.get(node) ?? [];
+    queued.set(node, queue);
+    if (queue.length >= MAX_QUEUED) return false;
     queue.push(message);
     return true;
   }
 
   return {
     listen: links.listen,
-    start: tend,
+    start: tick,
     port: links.port,
     addAddress(address, isSeed = false) {
       if (isClosed || address === self.address) return;
       for (const state of members.alive()) {
         if (state.address === address) return;
       }
-      probing.addAddress(address, isSeed);
+      discovery.addAddress(address, isSeed);
     },
-    peers: () => (isIsolated() ? nobody : members.alive()),
+    peers: () => (isIsolated() ? noPeers : members.alive()),
     isConnected: () => partners.names().length > 0 && !isIsolated(),
     send,
     broadcast(message) {
@@ -381,13 +383,13 @@
       }
     },
     publish() {
-      beliefs.publish();
-      beliefs.flush();
+      membership.publish();
+      membership.flush();
     },
     close() {
       isClosed = true;
-      beatTimer?.cancel();
-      beliefs.close();
+      heartbeatTimer?.cancel();
+      membership.close();
       links.close();
     },
   };
--- a/src/peers/routes-message.ts
+++ b/src/peers/routes-message.ts
@@ -1,27 +1,26 @@
 /**
- * Routes as gateways pass them on: compressed, since a table of some thousand routes is hundreds of
- * kilobytes, and it goes to every gateway within seconds over links of a few Mbit/s; and with their
- * version, so that a gateway that has them already need not unpack them.
+ * The message with which gateways relay routes. The document is compressed, since a table of some thousand
+ * routes has hundreds of kilobytes; its version lets a receiver skip one that it already has.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Err, Ok, type Result } from 'ts-results-es';
 import * as z from 'zod';
 import type { RoutingDocument } from '../routing/index.js';
 
-/** Bytes of an unpacked document at most: far above the largest row that the store keeps. */
+/** Largest decompressed document, in bytes; well above the largest row of the store. */
 const MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
 export const routesMessageSchema = z.object({
   kind: z.literal('routes'),
   version: z.number(),
-  /** The document's text, compressed. */
+  /** The document's text, raw deflate. */
   packed: z.custom<Uint8Array>((value) => value instanceof Uint8Array),
 });
 
-/** A version of the routes on its way to a peer. */
+/** One version of the routes, compressed for peers. */
 export type RoutesMessage = z.infer<typeof routesMessageSchema>;
 
-/** Creates a packer, which keeps the newest version packed for the next peer. */
+/** Creates a packer that caches the newest message, so that each version is compressed once. */
 export function createRoutesPacker(): (document: RoutingDocument) => RoutesMessage {
   let newest: RoutesMessage | undefined;
   return ({ table: { version }, text }) => {
@@ -32,10 +31,10 @@
 }
 
 /**
- * Unpacks the text of a document.
+ * Decompresses the text of a document.
  *
- * @param message as a peer sent it
- * @returns why it cannot be unpacked, where it cannot
+ * @param message as received from a peer
+ * @returns the text, or why it cannot be decompressed
  */
 export function unpackRoutes({ packed }: RoutesMessage): Result<string, string> {
   try {
--- a/src/peers/updates.ts
+++ b/src/peers/updates.ts
@@ -1,24 +1,24 @@
 /**
- * What gateways tell their partners when it changes: a gateway's own state, and that one is silent.
+ * Membership updates that gateways gossip to their partners: states and suspicions.
  */
 import type { ItemOrder } from '../gossip/index.js';
 import type { GatewayState, GatewaySuspicion, PeerMessage } from './messages.js';
 
-/** One thing that partners are to hear. */
+/** One membership update. */
 export type PeerUpdate =
   { kind: 'state'; record: GatewayState } | { kind: 'suspicion'; record: GatewaySuspicion };
 
-/** How news of gateways relate. */
+/** Which updates supersede each other. */
 export const peerUpdateOrder: ItemOrder<PeerUpdate> = {
   key: ({ kind, record }) => `${kind}/${record.node}`,
   version: ({ record }) => record.sequence,
 };
 
 /**
- * Puts news into one message.
+ * Combines updates into one message.
  *
- * @param kind whether it is passed on
- * @param items the news
+ * @param kind `news` is relayed by the receiver, `view` is not
+ * @param items the updates
  */
 export function packUpdates(kind: 'news' | 'view', items: Iterable<PeerUpdate>): PeerMessage {
   const states: GatewayState[] = [];
--- a/test/peers/links.test.ts
+++ b/test/peers/links.test.ts
@@ -6,12 +6,12 @@
 interface Member {
   overlay: Overlay;
   log: KeptLog;
-  /** Senders of all that was received, heartbeats included. */
+  /** Senders of all received messages, heartbeats included. */
   received: string[];
   lost: string[];
 }
 
-describe('the overlay on sockets', () => {
+describe('the overlay over WebSockets', () => {
   const members: Member[] = [];
 
   afterEach(() => {
@@ -20,11 +20,11 @@
     }
   });
 
-  async function join(node: string): Promise<Member> {
+  async function startMember(node: string): Promise<Member> {
     const log = createKeptLog();
     const received: string[] = [];
     const lost: string[] = [];
-    // the port is known only once it is taken; the introduction is read when a link is made
+    // the address is set below, once the port is known and before any introduction is sent
     const self = { node, incarnation: `${node}-1`, address: '', front: '', zone: 'a', cores: 1 };
     const overlay = createOverlay({
       clock: createSystemClock(),
@@ -48,31 +48,31 @@
     return member;
   }
 
-  it('keeps one link between two gateways that dialled each other at once', async () => {
-    const [a, b] = [await join('a'), await join('b')];
+  it('keeps one link between two gateways that dialled each other at the same time', async () => {
+    const [a, b] = [await startMember('a'), await startMember('b')];
     a.overlay.addAddress(`127.0.0.1:${b.overlay.port()}`);
     b.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1 && b.overlay.peers().length === 1);
-    // well beyond the time after which a link without heartbeats is dropped
+    // longer than a link without heartbeats would last
     await until(() => a.received.length > 6 && b.received.length > 6);
     expect(a.lost).to.deep.equal([]);
     expect(b.lost).to.deep.equal([]);
   });
 
-  it('learns of gateways from those it knows', async () => {
-    const [a, b, c] = [await join('a'), await join('b'), await join('c')];
+  it('discovers gateways through known peers', async () => {
+    const [a, b, c] = [await startMember('a'), await startMember('b'), await startMember('c')];
     b.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1);
     c.overlay.addAddress(`127.0.0.1:${a.overlay.port()}`);
     await until(() => b.overlay.peers().length === 2 && c.overlay.peers().length === 2);
   });
 
-  it('says that a peer is lost when it is gone', async () => {
-    const [a, b] = [await join('a'), await join('b')];
+  it('reports a peer that has gone as lost', async () => {
+    const [a, b] = [await startMember('a'), await startMember('b')];
     a.overlay.addAddress(`127.0.0.1:${b.overlay.port()}`);
     await until(() => a.overlay.peers().length === 1);
     b.overlay.close();
-    // one that hears nobody has no peers at once, and takes b for lost a moment later
+    // an isolated gateway has no peers at once, and considers b lost only later
     await until(() => a.lost.includes('b') && hasLost(a, 'b'));
     expect(a.overlay.peers()).to.deep.equal([]);
     expect(a.overlay.send('b', { kind: 'job.read', id: 'x' })).to.equal(false);
--- a/test/peers/membership.test.ts
+++ b/test/peers/membership.test.ts
@@ -1,5 +1,9 @@
 import { expect } from 'chai';
-import { createGatewayMembership, type GatewayState, type PeerMessage } from '../../src/peers/index.js';
+import {
+  createGatewayMembership,
+  type GatewayState,
+  type PeerMessage,
+} from '../../src/peers/index.js';
 import { createSteppedClock } from '../fixtures/peer-network.js';
 
 const self = {
@@ -28,7 +32,7 @@
   const { clock, advance } = createSteppedClock();
   const sent: { to: string; message: PeerMessage }[] = [];
   const lost: string[] = [];
-  const beliefs = createGatewayMembership({
+  const membership = createGatewayMembership({
     clock,
     self,
     status: () => ({ isReady: true, isFollowing: false }),
@@ -38,54 +42,54 @@
     lost: (node) => lost.push(node),
     merged: () => undefined,
   });
-  function settle(delayMs: number): void {
+  function expireAfter(delayMs: number): void {
     advance(delayMs);
-    beliefs.expire(clock.now());
+    membership.expire(clock.now());
   }
-  return { beliefs, sent, lost, advance, settle };
+  return { membership, sent, lost, advance, expireAfter };
 }
 
-/** The states that were told to a peer, as name and sequence. */
+/** The states sent to a peer, as `name/sequence`. */
 function statesTo(peer: string, sent: ReturnType<typeof setUp>['sent']): string[] {
-  const told: string[] = [];
+  const states: string[] = [];
   for (const { to, message } of sent) {
     if (to !== peer || message.kind !== 'news') continue;
-    told.push(...message.states.map(({ node, sequence }) => `${node}/${sequence}`));
+    states.push(...message.states.map(({ node, sequence }) => `${node}/${sequence}`));
   }
-  return told;
+  return states;
 }
 
-describe('what a gateway believes of others', () => {
-  it('counts a peer that others suspect as lost only when nobody refutes it in time', () => {
-    const { beliefs, lost, settle } = setUp();
-    beliefs.introductionReceived(stateOf('a', 1));
-    beliefs.introductionReceived(stateOf('b', 1));
-    beliefs.applyUpdates(suspicionOf('a', 1), 'p');
-    beliefs.applyUpdates(suspicionOf('b', 1), 'p');
-    settle(200);
+describe('gateway membership', () => {
+  it('marks a suspected peer as lost unless the suspicion is refuted in time', () => {
+    const { membership, lost, expireAfter } = setUp();
+    membership.introductionReceived(stateOf('a', 1));
+    membership.introductionReceived(stateOf('b', 1));
+    membership.applyUpdates(suspicionOf('a', 1), 'p');
+    membership.applyUpdates(suspicionOf('b', 1), 'p');
+    expireAfter(200);
     expect(lost).to.deep.equal([]);
-    beliefs.applyUpdates({ kind: 'news', states: [stateOf('b', 2)], suspicions: [] }, 'q');
-    settle(200);
+    membership.applyUpdates({ kind: 'news', states: [stateOf('b', 2)], suspicions: [] }, 'q');
+    expireAfter(200);
     expect(lost).to.deep.equal(['a']);
-    expect(beliefs.members.alive().map(({ node }) => node)).to.deep.equal(['b']);
+    expect(membership.members.alive().map(({ node }) => node)).to.deep.equal(['b']);
   });
 
-  it('is told to all when it is wrong about this gateway itself', () => {
-    const { beliefs, sent, advance } = setUp();
-    beliefs.applyUpdates(suspicionOf('self', 1), 'p');
+  it('broadcasts a refutation of a suspicion against itself', () => {
+    const { membership, sent, advance } = setUp();
+    membership.applyUpdates(suspicionOf('self', 1), 'p');
     advance(50);
     expect(statesTo('p', sent)).to.deep.equal(['self/2']);
     expect(statesTo('q', sent)).to.deep.equal(['self/2']);
   });
 
-  it('is corrected for one that has missed a refutation, and for nobody else', () => {
-    const { beliefs, sent, advance } = setUp();
-    beliefs.applyUpdates(suspicionOf('self', 1), 'q');
-    beliefs.introductionReceived(stateOf('a', 5));
+  it('repeats a refutation only to the peer that missed it', () => {
+    const { membership, sent, advance } = setUp();
+    membership.applyUpdates(suspicionOf('self', 1), 'q');
+    membership.introductionReceived(stateOf('a', 5));
     advance(50);
     sent.splice(0);
-    beliefs.applyUpdates(suspicionOf('self', 1), 'p');
-    beliefs.applyUpdates(suspicionOf('a', 4), 'p');
+    membership.applyUpdates(suspicionOf('self', 1), 'p');
+    membership.applyUpdates(suspicionOf('a', 4), 'p');
     advance(50);
     expect(statesTo('p', sent)).to.deep.equal(['self/2', 'a/5']);
     expect(statesTo('q', sent)).to.deep.equal([]);
--- a/test/peers/overlay.test.ts
+++ b/test/peers/overlay.test.ts
@@ -11,13 +11,13 @@
   return names.map((name) => network.start(name, names));
 }
 
-function up(nodes: readonly PeerNode[]): PeerNode[] {
+function listLive(nodes: readonly PeerNode[]): PeerNode[] {
   return nodes.filter(({ condition }) => condition === 'up');
 }
 
-/** Whether every live gateway believes just the live ones alive. */
-function agree(nodes: readonly PeerNode[]): boolean {
-  const alive = up(nodes);
+/** Whether the peers of every live gateway are exactly the other live ones. */
+function haveConverged(nodes: readonly PeerNode[]): boolean {
+  const alive = listLive(nodes);
   const names = new Set(alive.map(({ name }) => name));
   return alive.every(({ name, overlay }) => {
     const peers = overlay.peers();
@@ -28,10 +28,10 @@
   });
 }
 
-/** Moves the clock until all agree; how long that took, in ms. */
-function timeUntilAgreed(network: Network, limitMs: number): number {
-  for (let spentMs = 0; spentMs < limitMs; spentMs += 20) {
-    if (agree(network.nodes)) return spentMs;
+/** Advances the clock until all agree; returns the elapsed time in ms, or infinity at the limit. */
+function timeUntilConverged(network: Network, limitMs: number): number {
+  for (let elapsedMs = 0; elapsedMs < limitMs; elapsedMs += 20) {
+    if (haveConverged(network.nodes)) return elapsedMs;
     network.advance(20);
   }
   return Number.POSITIVE_INFINITY;
@@ -43,16 +43,16 @@
   return network.start(node.name, known);
 }
 
-describe('the overlay of several hundred gateways', function () {
+describe('an overlay of several hundred gateways', function () {
   this.timeout(60_000);
 
-  it('knows all of them soon after a common start', () => {
+  it('converges soon after all gateways start at once', () => {
     const network = createPeerNetwork();
     startAll(network, 300);
-    expect(timeUntilAgreed(network, 5_000)).to.be.below(4_000);
+    expect(timeUntilConverged(network, 5_000)).to.be.below(4_000);
   });
 
-  it('costs each gateway no more than a fleet of 30 does', () => {
+  it('costs each gateway about as much as in a fleet of 30', () => {
     const costs = [30, 300].map((count) => {
       const network = createPeerNetwork();
       startAll(network, count);
@@ -74,7 +74,7 @@
     expect(large.links).to.be.below(32);
   });
 
-  it('notices lost gateways within the time for a change, whatever the size and how many', () => {
+  it('detects lost gateways within the time for a change, whatever their number and the fleet size', () => {
     for (const [count, lost] of [
       [30, 4],
       [300, 4],
@@ -84,29 +84,29 @@
       const nodes = startAll(network, count);
       network.advance(8_000);
       for (const node of nodes.slice(0, lost)) network.kill(node, 'powerless');
-      expect(timeUntilAgreed(network, 10_000), `${lost} of ${count}`).to.be.below(CHANGE_MS);
+      expect(timeUntilConverged(network, 10_000), `${lost} of ${count}`).to.be.below(CHANGE_MS);
     }
   });
 
-  it('notices processes that end at once', () => {
+  it('detects killed processes within a second', () => {
     const network = createPeerNetwork();
     const nodes = startAll(network, 300);
     network.advance(8_000);
     for (const node of nodes.slice(0, 150)) network.kill(node, 'killed');
-    expect(timeUntilAgreed(network, 10_000)).to.be.below(1_000);
+    expect(timeUntilConverged(network, 10_000)).to.be.below(1_000);
   });
 
-  it('finds itself again after all gateways lost power at once', () => {
+  it('recovers after all gateways lost power at once', () => {
     const network = createPeerNetwork();
     const nodes = startAll(network, 200);
     network.advance(8_000);
     for (const node of nodes) network.kill(node, 'powerless');
     network.advance(700);
     for (const node of nodes) restart(network, node);
-    expect(timeUntilAgreed(network, 10_000)).to.be.below(5_000);
+    expect(timeUntilConverged(network, 10_000)).to.be.below(5_000);
   });
 
-  it('joins again with a part that was cut off', () => {
+  it('merges again after a network partition', () => {
     const network = createPeerNetwork();
     startAll(network, 200);
     network.advance(8_000);
@@ -114,10 +114,10 @@
     network.control.passes = (from, to) => isCut(from) === isCut(to);
     network.advance(6_000);
     network.control.passes = () => true;
-    expect(timeUntilAgreed(network, 10_000)).to.be.below(4_000);
+    expect(timeUntilConverged(network, 10_000)).to.be.below(4_000);
   });
 
-  it('loses nobody when a gateway returns that heard nobody', () => {
+  it('loses no peer when an isolated gateway returns', () => {
     const network = createPeerNetwork();
     const [alone, ...others] = startAll(network, 100);
     network.advance(8_000);
@@ -127,7 +127,7 @@
     expect(alone.overlay.peers()).to.have.length(0);
     expect(alone.overlay.isConnected()).to.equal(false);
     network.control.passes = () => true;
-    for (let spentMs = 0; spentMs < 4_000; spentMs += 20) {
+    for (let elapsedMs = 0; elapsedMs < 4_000; elapsedMs += 20) {
       network.advance(20);
       for (const { overlay } of others) {
         const believed = overlay.peers().filter(({ node }) => node !== alone.name);
@@ -137,7 +137,7 @@
     expect(alone.overlay.peers()).to.have.length(99);
   });
 
-  it('believes all others alive at once when it hears somebody again', () => {
+  it('lists all peers as soon as an isolated gateway receives a message again', () => {
     for (const seed of [1, 2, 3, 4]) {
       const network = createPeerNetwork(seed);
       const [alone] = startAll(network, 100);
@@ -152,7 +152,7 @@
     }
   });
 
-  it('replaces connections that go silent, and loses nobody', () => {
+  it('replaces silent connections without losing a peer', () => {
     const network = createPeerNetwork();
     const nodes = startAll(network, 60);
     network.advance(8_000);
@@ -163,30 +163,30 @@
       if (peer !== undefined && network.silence(node.name, peer)) silenced += 1;
     }
     expect(silenced).to.equal(20);
-    for (let spentMs = 0; spentMs < 5_000; spentMs += 50) {
+    for (let elapsedMs = 0; elapsedMs < 5_000; elapsedMs += 50) {
       network.advance(50);
       for (const node of nodes) expect(node.overlay.peers()).to.have.length(known.get(node) ?? 0);
     }
   });
 
-  it('dials dead addresses at a bounded pace, and not for ever', () => {
+  it('dials dead addresses at a bounded rate and for a bounded time', () => {
     const network = createPeerNetwork();
     const nodes = startAll(network, 200);
     network.advance(8_000);
     for (const node of nodes.slice(0, 60)) network.kill(node, 'powerless');
     network.advance(6_000);
     const dialsIn = (spanMs: number) => {
-      const before = up(nodes).reduce((sum, { dials }) => sum + dials, 0);
+      const before = listLive(nodes).reduce((sum, { dials }) => sum + dials, 0);
       network.advance(spanMs);
-      return up(nodes).reduce((sum, { dials }) => sum + dials, 0) - before;
+      return listLive(nodes).reduce((sum, { dials }) => sum + dials, 0) - before;
     };
-    // 60 addresses, three dials each between two heartbeats
+    // 60 addresses, three dials of each in ten heartbeat intervals
     expect(dialsIn(4_000)).to.be.below(60 * 3 * 10 * 1.3);
     network.advance(70_000);
     expect(dialsIn(4_000)).to.equal(0);
   });
 
-  it('tells all of a gateway that is not ready any more', () => {
+  it('broadcasts that a gateway is no longer ready', () => {
     const network = createPeerNetwork();
     const [leaving, ...others] = startAll(network, 200);
     network.advance(8_000);
@@ -201,7 +201,7 @@
     expect(new Set(seen)).to.deep.equal(new Set([false]));
   });
 
-  it('reaches a gateway that is no partner, and says when it cannot', () => {
+  it('sends to a gateway that is not a partner, and reports one that cannot be reached', () => {
     const network = createPeerNetwork();
     const [first, ...others] = startAll(network, 100);
     network.advance(8_000);
--- a/test/peers/routes-message.test.ts
+++ b/test/peers/routes-message.test.ts
@@ -20,8 +20,8 @@
   return { table: { version, routes: [], services: new Map(), limits }, text };
 }
 
-describe('routes on their way to a peer', () => {
-  it('arrive as they were, in a small part of their bytes', () => {
+describe('the routes message', () => {
+  it('compresses the document and restores it unchanged', () => {
     const sent = document(7, 2_000);
     const bytes = encodeMessage(createRoutesPacker()(sent));
     expect(bytes.length).to.be.below(sent.text.length / 4);
@@ -30,13 +30,13 @@
     if (received?.kind === 'routes') expect(unpackRoutes(received).unwrap()).to.equal(sent.text);
   });
 
-  it('are packed once for all peers', () => {
+  it('is created once for each version', () => {
     const pack = createRoutesPacker();
     expect(pack(document(7, 10))).to.equal(pack(document(7, 10)));
     expect(pack(document(8, 10)).version).to.equal(8);
   });
 
-  it('say why they cannot be unpacked', () => {
+  it('reports a document that cannot be decompressed', () => {
     const damaged = { kind: 'routes', version: 1, packed: Buffer.from('no') } as const;
     expect(unpackRoutes(damaged).isErr()).to.equal(true);
   });
