--- a/src/routing/replica.ts
+++ b/src/routing/replica.ts
@@ -1,37 +1,37 @@
 /**
- * A gateway's copy of the routing table. It moves forward only, whichever source a version comes
- * from, so a gateway never goes back to routes that it has already left.
+ * A gateway's copy of the routing table. Its version never decreases, whether a document comes from the store
+ * or from a peer.
  */
 import type { Log } from '../events/index.js';
 import { createRouteIndex, type RouteIndex } from './route-index.js';
 import type { RoutingTable } from './route.js';
 
-/** A version with the document that it was read from, for handing on to peers. */
+/** A routing table with its source document, which is relayed to peers. */
 export interface RoutingDocument {
   table: RoutingTable;
   /** The document as the operator wrote it. */
   text: string;
 }
 
-/** Where a version was learnt from. */
+/** Where a document came from. */
 export type RoutingSource = 'store' | 'peer';
 
-/** The newest table that a gateway knows. */
+/** The newest known routing table. */
 export interface RoutingReplica {
-  /** `undefined` until a first version was learnt. */
+  /** `undefined` before the first version. */
   index(): RouteIndex | undefined;
-  /** 0 until a first version was learnt. */
+  /** 0 before the first version. */
   version(): number;
   document(): RoutingDocument | undefined;
-  /** Takes a version in if it is newer than the one in force. */
+  /** Applies a document that is newer than the one in force. */
   offer(document: RoutingDocument, source: RoutingSource): void;
 }
 
 /**
  * Creates an empty replica.
  *
- * @param log hears of versions that come into force
- * @param applied called after a version came into force
+ * @param log receives an event for each applied version
+ * @param applied called after a version was applied
  */
 export function createRoutingReplica(
   log: Log,
@@ -40,11 +40,11 @@
   let current: RoutingDocument | undefined;
   let index: RouteIndex | undefined;
 
-  /** A version is written again with other contents where the store has lost it; the store's word holds then. */
-  function isNewer({ table, text }: RoutingDocument, source: RoutingSource): boolean {
+  /** A store restored from a backup can reuse a version for other contents; the store then takes precedence. */
+  function supersedesCurrent({ table, text }: RoutingDocument, source: RoutingSource): boolean {
     if (current === undefined || table.version > current.table.version) return true;
-    const isRewritten = table.version === current.table.version && text !== current.text;
-    return isRewritten && source === 'store';
+    const isReused = table.version === current.table.version && text !== current.text;
+    return isReused && source === 'store';
   }
 
   return {
@@ -53,13 +53,13 @@
     document: () => current,
     offer(document, source) {
       const { table } = document;
-      const before = current?.table.version ?? 0;
-      if (!isNewer(document, source)) return;
+      const previousVersion = current?.table.version ?? 0;
+      if (!supersedesCurrent(document, source)) return;
       current = document;
       index = createRouteIndex(table);
       log.write('routesApplied', {
         version: table.version,
-        before,
+        before: previousVersion,
         source,
         routes: table.routes.length,
       });
--- a/src/routing/route-index.ts
+++ b/src/routing/route-index.ts
@@ -3,13 +3,13 @@
  */
 import type { Route, RoutingTable } from './route.js';
 
-/** Looks routes up in one version of the table. */
+/** Looks up routes in one version of the table. */
 export interface RouteIndex {
   readonly table: RoutingTable;
   /**
    * Finds the route of a request.
    *
-   * @param host the host that the caller asked for, without a port
+   * @param host the requested host, without a port
    * @param path path and query, starting with `/`
    */
   find(host: string, path: string): Route | undefined;
@@ -17,8 +17,6 @@
 
 /**
  * Indexes a table by host, longest prefix first.
- *
- * @param table the table to look up
  */
 export function createRouteIndex(table: RoutingTable): RouteIndex {
   const byHost = new Map<string, Route[]>();
@@ -44,20 +42,21 @@
 }
 
 /**
- * Chooses a target by weight.
+ * Chooses one of a route's services at random, by weight.
  *
  * @param route the route of the request
- * @param chance evenly spread over [0, 1)
+ * @param chance a uniform random number in [0, 1)
+ * @returns the service's name; `undefined` if the route has no targets
  */
 export function chooseTarget(route: Route, chance: number): string | undefined {
   let total = 0;
   for (const target of route.targets) {
     total += target.weight;
   }
-  let left = chance * total;
+  let remaining = chance * total;
   for (const target of route.targets) {
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.at(-1)?.service;
 }
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -37,8 +37,8 @@
   return { version, routes, services: new Map(), limits };
 }
 
-describe('routes', () => {
-  it('takes the longest prefix of the host', () => {
+describe('routing', () => {
+  it('finds the longest matching prefix of the host', () => {
     const index = createRouteIndex(table(1, [route('short', '/a/'), route('long', '/a/b/')]));
     expect(index.find('desk.example', '/a/b/c?x=/')?.name).to.equal('long');
     expect(index.find('desk.example', '/a/c')?.name).to.equal('short');
@@ -46,7 +46,7 @@
     expect(index.find('other.example', '/a/')).to.equal(undefined);
   });
 
-  it('sends to targets by their weights', () => {
+  it('chooses targets by weight', () => {
     const targets = [
       { service: 'a', weight: 90 },
       { service: 'b', weight: 10 },
@@ -56,7 +56,7 @@
     expect(chooseTarget(split, 0.91)).to.equal('b');
   });
 
-  it('only moves forward, whoever offers an older version', () => {
+  it('ignores older versions from any source', () => {
     const replica = createRoutingReplica(createSilentLog(), () => undefined);
     replica.offer({ table: table(5), text: '' }, 'store');
     replica.offer({ table: table(4), text: '' }, 'peer');
