--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -14,7 +14,7 @@
 import type { SendBudget } from '../limits/send-budget.js';
 import type { GatewayMetrics } from '../metrics/index.js';
 import { createFingerprint, type Ban, type Quarantine } from '../quarantine/index.js';
-import { resolveTarget, type Route, type RoutingReplica } from '../routing/index.js';
+import { chooseTarget, type Route, type RoutingReplica } from '../routing/index.js';
 import { wait, type Clock, type RandomSource, type Timer } from '../task/index.js';
 import type { CallerAnswer } from './caller-answer.js';
 import type { Connections } from './connections.js';
@@ -106,7 +106,7 @@
     return;
   }
   const route = index.find(head.host, callerRequest.path);
-  const service = route === undefined ? undefined : resolveTarget(route, parts.random.next());
+  const service = route === undefined ? undefined : chooseTarget(route, parts.random.next());
   if (route === undefined || service === undefined) {
     const { version } = index.table;
     parts.metrics.refusals.inc({ reason: 'no-route' });
@@ -172,10 +172,10 @@
     requestId,
     service,
     rank: route.rank,
-    maxEventGapMs: route.pauseMs,
+    maxEventGapMs: route.maxEventGapMs,
     isCallerRetry: parts.callerRetries.isRetry(route.name, head.waitMs),
     signal: abortController.signal,
-    aimLeftMs: () => route.aimMs - (clock.now() - arrivedAt),
+    aimLeftMs: () => route.latencyObjectiveMs - (clock.now() - arrivedAt),
     timeLeftMs: () => endAt - clock.now(),
     find: (id) => parts.fleet.find(id),
     withholdReason: gate.withholdReason,
@@ -315,8 +315,11 @@
     const isLast = progress.attempts + 1 >= route.maxAttempts;
     // requests may queue at a busy engine; its scheduler detects engines that do not answer
     if (isLast || prompt !== undefined || !isRepeatable(route)) return undefined;
-    const timeoutMs = Math.max(MIN_ANSWER_TIMEOUT_MS, ANSWER_TIMEOUT_FACTOR * route.aimMs);
-    return endAt - clock.now() - timeoutMs > route.aimMs ? timeoutMs : undefined;
+    const timeoutMs = Math.max(
+      MIN_ANSWER_TIMEOUT_MS,
+      ANSWER_TIMEOUT_FACTOR * route.latencyObjectiveMs,
+    );
+    return endAt - clock.now() - timeoutMs > route.latencyObjectiveMs ? timeoutMs : undefined;
   }
 
   /** Updates the request's progress after a send. */
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -3,7 +3,7 @@
 import {
   createRouteIndex,
   createRoutingReplica,
-  resolveTarget,
+  chooseTarget,
   type Route,
   type RoutingTable,
 } from '../../src/routing/index.js';
@@ -17,8 +17,8 @@
     isStream: false,
     isResumable: false,
     timeoutMs: 1_000,
-    pauseMs: 200,
-    aimMs: 100,
+    maxEventGapMs: 200,
+    latencyObjectiveMs: 100,
     rank: 0,
     targets: [{ service: 'pages', weight: 1 }],
     maxAttempts: 1,
@@ -37,8 +37,8 @@
   return { version, routes, services: new Map(), limits };
 }
 
-describe('routes', () => {
-  it('takes the longest prefix of the host', () => {
+describe('routing', () => {
+  it('finds the longest matching prefix of the host', () => {
     const index = createRouteIndex(table(1, [route('short', '/a/'), route('long', '/a/b/')]));
     expect(index.find('desk.example', '/a/b/c?x=/')?.name).to.equal('long');
     expect(index.find('desk.example', '/a/c')?.name).to.equal('short');
@@ -46,17 +46,17 @@
     expect(index.find('other.example', '/a/')).to.equal(undefined);
   });
 
-  it('sends to targets by their weights', () => {
+  it('chooses targets by weight', () => {
     const targets = [
       { service: 'a', weight: 90 },
       { service: 'b', weight: 10 },
     ];
     const split = route('split', '/a/', { targets });
-    expect(resolveTarget(split, 0.89)).to.equal('a');
-    expect(resolveTarget(split, 0.91)).to.equal('b');
+    expect(chooseTarget(split, 0.89)).to.equal('a');
+    expect(chooseTarget(split, 0.91)).to.equal('b');
   });
 
-  it('only moves forward, whoever offers an older version', () => {
+  it('ignores older versions from any source', () => {
     const replica = createRoutingReplica(createSilentLog(), () => undefined);
     replica.offer({ table: table(5), text: '' }, 'store');
     replica.offer({ table: table(4), text: '' }, 'peer');
