--- a/src/backpressure/allowances.ts
+++ b/src/backpressure/allowances.ts
@@ -46,7 +46,7 @@
   allocatorOf(server: string): string;
   noticeOf(server: string): NoticeRow | undefined;
   /** Takes in what a peer has heard. */
-  learn(node: string, notice: NoticeRow): void;
+  applyNotice(node: string, notice: NoticeRow): void;
   /** Sends to a peer; false where there is no way to it. */
   send(node: string, message: AllowanceMessage): boolean;
 }
@@ -56,10 +56,10 @@
   /** Time for which a server takes nothing more from this gateway, as far as it knows, in ms. */
   msUntilOpen: (server: string) => number;
   /** Asks for leave to send one request; gives whether it may be sent. */
-  ask: (server: string, isUrgent: boolean) => Promise<boolean>;
+  acquire: (server: string, isUrgent: boolean) => Promise<boolean>;
   received(node: string, message: AllowanceMessage): void;
   /** A peer was lost: what it was asked is decided here. */
-  lost(node: string): void;
+  peerLost(node: string): void;
   forget(server: string): void;
 }
 
@@ -115,7 +115,7 @@
 
   return {
     msUntilOpen: (server) => Math.max(0, (closedUntil.get(server) ?? 0) - clock.now()),
-    async ask(server, isUrgent) {
+    async acquire(server, isUrgent) {
       const allocator = parts.allocatorOf(server);
       const isOwn = allocator === node;
       const waitMs = await (isOwn
@@ -128,7 +128,7 @@
     received(from, message) {
       match(message)
         .with({ kind: 'allowance.ask' }, ({ id, server, isUrgent, notice }) => {
-          if (notice !== undefined) parts.learn(from, notice);
+          if (notice !== undefined) parts.applyNotice(from, notice);
           const waitMs = decide(server, isUrgent);
           parts.send(from, { kind: 'allowance.answer', id, waitMs });
         })
@@ -137,7 +137,7 @@
         })
         .exhaustive();
     },
-    lost(peer) {
+    peerLost(peer) {
       for (const { allocator, settle } of [...asked.values()]) {
         if (allocator === peer) settle(undefined);
       }
--- a/src/backpressure/backpressure.ts
+++ b/src/backpressure/backpressure.ts
@@ -36,7 +36,7 @@
   /** Tells all partners. */
   broadcast(message: NoticesMessage): void;
   /** A server has come to be known to leave. */
-  left(server: string): void;
+  serverLeaving(server: string): void;
   /** Sends to a peer; false where there is no way to it. */
   send(node: string, message: NoticesMessage | AllowanceMessage): boolean;
 }
@@ -65,7 +65,7 @@
    * @param server the incarnation
    * @param isUrgent whether it may take the last room
    */
-  allow: Allowances['ask'];
+  acquireAllowance: Allowances['acquire'];
   received(node: string, message: NoticesMessage | AllowanceMessage): void;
   /** A number that is the same in all gateways that know the same. */
   digest: () => number;
@@ -99,7 +99,7 @@
     limits,
     allocatorOf: (server) => parts.allocatorOf(server),
     noticeOf: (server) => notices.rowOf(server, clock.now()),
-    learn(from, row) {
+    applyNotice(from, row) {
       learn(unpackNotice(row, clock.now()), from);
     },
     send: (to, message) => parts.send(to, message),
@@ -115,7 +115,7 @@
   }
 
   function notePause(server: string, { pauseMs }: ServerSignals): void {
-    if (pauseMs === undefined || pauseMs === 0 || pauses.ask(server, pauseMs)) return;
+    if (pauseMs === undefined || pauseMs === 0 || pauses.start(server, pauseMs)) return;
     metrics.signals.inc({ signal: 'pause' });
     log.write('serverSignalled', { server, pauseMs, source: 'server' });
   }
@@ -124,13 +124,13 @@
   function learn(notice: ServerNotice, source: string): boolean {
     const { server, isLeaving, limitPerS, at } = notice;
     const wasLeaving = notices.isLeaving(server);
-    if (!notices.learn(notice, source !== 'server')) return false;
+    if (!notices.apply(notice, source !== 'server')) return false;
     const ageMs = Math.round(clock.now() - at);
     log.write('serverSignalled', { server, isLeaving, limitPerS, source, ageMs });
     if (limitPerS !== undefined) metrics.signals.inc({ signal: 'limit' });
     if (!isLeaving || wasLeaving) return true;
     metrics.signals.inc({ signal: 'leaving' });
-    parts.left(server);
+    parts.serverLeaving(server);
     return true;
   }
 
@@ -155,10 +155,10 @@
 
   return {
     limits,
-    msUntilResumed: pauses.msLeft,
+    msUntilResumed: pauses.remainingMs,
     paused: pauses.list,
-    msUntilOpen: (server) => Math.max(pauses.msLeft(server), allowances.msUntilOpen(server)),
-    allow: allowances.ask,
+    msUntilOpen: (server) => Math.max(pauses.remainingMs(server), allowances.msUntilOpen(server)),
+    acquireAllowance: allowances.acquire,
     signalsReceived(server, signals, isSound) {
       noteUnreadable(server, signals);
       const { id } = server;
@@ -193,7 +193,7 @@
     },
     peerLost(peer) {
       comparedAt.delete(peer);
-      allowances.lost(peer);
+      allowances.peerLost(peer);
     },
     forget(id) {
       notices.forget(id);
--- a/src/backpressure/notices.ts
+++ b/src/backpressure/notices.ts
@@ -59,7 +59,7 @@
    * @param isTold whether it is another gateway's word
    * @returns whether others are to be told
    */
-  learn(notice: ServerNotice, isTold: boolean): boolean;
+  apply(notice: ServerNotice, isTold: boolean): boolean;
   /** All that is known, to be told. */
   rows(now: number): NoticeRow[];
   rowOf(server: string, now: number): NoticeRow | undefined;
@@ -84,7 +84,7 @@
   return {
     limitOf: (server) => entries.get(server)?.limitPerS,
     isLeaving: (server) => entries.get(server)?.isLeaving === true,
-    learn(notice, isTold) {
+    apply(notice, isTold) {
       const { server } = notice;
       const known = entries.get(server);
       const isLeaving = notice.isLeaving || known?.isLeaving === true;
--- a/src/backpressure/pauses.ts
+++ b/src/backpressure/pauses.ts
@@ -13,9 +13,9 @@
 /** Servers that asked this gateway to pause. */
 export interface Pauses {
   /** A server has asked for a pause; tells whether one was in force already. */
-  ask(server: string, pauseMs: number): boolean;
+  start(server: string, pauseMs: number): boolean;
   /** Time until the server may be sent anything, in ms. */
-  msLeft: (server: string) => number;
+  remainingMs: (server: string) => number;
   /** Servers with a pause in force. */
   list: () => string[];
   forget(server: string): void;
@@ -39,13 +39,13 @@
   }
 
   return {
-    ask(server, pauseMs) {
+    start(server, pauseMs) {
       const isPaused = msLeft(server) > 0;
       const lastsMs = Math.min(MAX_PAUSE_MS, pauseMs * (1 + SPREAD_SHARE * random.next()));
       until.set(server, Math.max(until.get(server) ?? 0, clock.now() + lastsMs));
       return isPaused;
     },
-    msLeft,
+    remainingMs: msLeft,
     list: () => [...until.keys()].filter((server) => msLeft(server) > 0),
     forget(server) {
       until.delete(server);
--- a/src/backpressure/send-limits.ts
+++ b/src/backpressure/send-limits.ts
@@ -43,7 +43,7 @@
   /** A request is sent. */
   take(server: string): void;
   /** Time after which a caller that finds no room is told to come back, in ms; each is told a later one. */
-  msUntilReturn(server: string): number;
+  nextRetryAfterMs(server: string): number;
   forget(server: string): void;
 }
 
@@ -117,7 +117,7 @@
       if (parts.isAllocator(server)) pace.bucket.draw(1, clock.now());
       else pace.aloneAt = Math.max(clock.now(), pace.aloneAt) + aloneIntervalMs(pace);
     },
-    msUntilReturn(server) {
+    nextRetryAfterMs(server) {
       const pace = find(server);
       if (pace === undefined) return 0;
       const now = clock.now();
@@ -142,6 +142,6 @@
   isLimited: () => false,
   msUntilRoom: () => 0,
   take: () => undefined,
-  msUntilReturn: () => 0,
+  nextRetryAfterMs: () => 0,
   forget: () => undefined,
 };
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -147,7 +147,7 @@
     node,
     allocatorOf: (server) => schedulers.holderOf(fleet.find(server)?.service ?? ''),
     gateways: () => overlay.peers().length + 1,
-    left(server) {
+    serverLeaving(server) {
       fleet.retire(server, 'the server says that it leaves');
     },
     broadcast(message) {
--- a/src/relay/service-placer.ts
+++ b/src/relay/service-placer.ts
@@ -64,7 +64,7 @@
 export interface ServicePlacing {
   /** Whether it may take the last room at a server that has named a limit. */
   isUrgent: boolean;
-  backpressure: Pick<Backpressure, 'limits' | 'msUntilOpen' | 'allow'>;
+  backpressure: Pick<Backpressure, 'limits' | 'msUntilOpen' | 'acquireAllowance'>;
   servers: readonly RegisteredServer[];
   zone: string;
   health: FleetHealth;
@@ -107,7 +107,7 @@
       const server = choose(placing);
       if (server === undefined) return undefined;
       const isLimited = backpressure.limits.isLimited(server.id);
-      if (!isLimited || (await backpressure.allow(server.id, isUrgent))) return server;
+      if (!isLimited || (await backpressure.acquireAllowance(server.id, isUrgent))) return server;
     }
   }
 
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -230,7 +230,7 @@
       return;
     }
     const leftMs = tracked.job.timeLeftMs - (clock.now() - tracked.submittedAt);
-    const untilRoomMs = Math.max(NO_ENGINE_RETRY_MS, limits.msUntilReturn(limited));
+    const untilRoomMs = Math.max(NO_ENGINE_RETRY_MS, limits.nextRetryAfterMs(limited));
     decline(tracked, 'no-engine', resolveRetryAfterMs(leftMs, untilRoomMs), 0);
   }
 
--- a/test/backpressure/backpressure.test.ts
+++ b/test/backpressure/backpressure.test.ts
@@ -29,7 +29,7 @@
     node: 'self',
     allocatorOf: () => allocator,
     gateways: () => 7,
-    left: (id) => left.push(id),
+    serverLeaving: (id) => left.push(id),
     broadcast: () => undefined,
     send: () => true,
   });
@@ -88,7 +88,7 @@
   it('closes a server only briefly where the gateway that allocates its limit is silent', async () => {
     const { backpressure, runUntil } = setUp('other');
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 0.5 }, true);
-    expect(await runUntil(backpressure.allow(server.id, true))).to.equal(false);
+    expect(await runUntil(backpressure.acquireAllowance(server.id, true))).to.equal(false);
     expect(backpressure.msUntilOpen(server.id)).to.be.within(1, 500);
   });
 });
