--- a/src/backpressure/allowances.ts
+++ b/src/backpressure/allowances.ts
@@ -1,6 +1,6 @@
 /**
- * Leave to send single requests to servers of plain services that have named limits, from the gateway that allocates
- * these. A request for engines needs none: its placement comes from that gateway.
+ * Allowances: permission from the allocating gateway to send one request to a rate-limited server of a
+ * plain service. Requests to engines need none, since the allocating gateway places them itself.
  */
 import { match } from 'ts-pattern';
 import * as z from 'zod';
@@ -8,35 +8,35 @@
 import { noticeRowSchema, type NoticeRow } from './notices.js';
 import type { SendLimits } from './send-limits.js';
 
-/** How long the allocating gateway may take to answer, in ms: some ways there and back, and its processor's turn. */
-const SILENCE_MS = 40;
-/** A server is closed for at most so long where the allocating gateway was silent, in ms: it may be back. */
-const MAX_SILENT_WAIT_MS = 500;
-/** After a refusal the server isn't asked for within this, in ms, however soon there may be room. */
-const LEAST_WAIT_MS = 5;
+/** Timeout for an answer of the allocating gateway, in ms. */
+const ANSWER_TIMEOUT_MS = 40;
+/** Maximum time for which a server is closed after a timeout, in ms. */
+const MAX_WAIT_AFTER_TIMEOUT_MS = 500;
+/** Minimum time for which a server is closed after a refusal, in ms. */
+const MIN_WAIT_MS = 5;
 
 export const allowanceMessageSchemas = [
   z.object({
     kind: z.literal('allowance.ask'),
     id: z.string(),
     server: z.string(),
-    /** Less urgent requests leave room for one that is more so. */
+    /** Other requests leave room for urgent ones. */
     isUrgent: z.boolean(),
-    /** What the server asks for, which the allocating gateway may not have heard yet. */
+    /** The server's signals, which the allocating gateway may not have received yet. */
     notice: noticeRowSchema.optional(),
   }),
   z.object({
     kind: z.literal('allowance.answer'),
     id: z.string(),
-    /** Time until it is of use to ask again; 0 where the request may be sent. */
+    /** Time until the request may be repeated, in ms; 0 if it is granted. */
     waitMs: z.number(),
   }),
 ] as const;
 
-/** What gateways say to each other of single sends. */
+/** Messages between gateways about allowances. */
 export type AllowanceMessage = z.infer<(typeof allowanceMessageSchemas)[number]>;
 
-/** What allowances need. */
+/** Dependencies of allowances. */
 export interface AllowancesParts {
   clock: Clock;
   random: RandomSource;
@@ -45,43 +45,43 @@
   /** The gateway that allocates the limit of a server. */
   allocatorOf(server: string): string;
   noticeOf(server: string): NoticeRow | undefined;
-  /** Takes in what a peer has heard. */
+  /** Applies a notice from a peer. */
   applyNotice(node: string, notice: NoticeRow): void;
-  /** Sends to a peer; false where there is no way to it. */
+  /** Sends to a peer; returns false without a link. */
   send(node: string, message: AllowanceMessage): boolean;
 }
 
-/** Leave to send. */
+/** Allowances of this gateway. */
 export interface Allowances {
-  /** Time for which a server takes nothing more from this gateway, as far as it knows, in ms. */
+  /** Time until an allowance for a server may be requested again, in ms. */
   msUntilOpen: (server: string) => number;
-  /** Asks for leave to send one request; gives whether it may be sent. */
+  /** Requests an allowance for one request; resolves to whether it was granted. */
   acquire: (server: string, isUrgent: boolean) => Promise<boolean>;
   received(node: string, message: AllowanceMessage): void;
-  /** A peer was lost: what it was asked is decided here. */
+  /** Decides requests that are pending at a lost peer on this gateway. */
   peerLost(node: string): void;
   forget(server: string): void;
 }
 
-interface Asked {
+interface PendingRequest {
   allocator: string;
-  settle: (waitMs: number | undefined) => void;
+  /** `undefined` if the allocator did not answer. */
+  complete: (waitMs: number | undefined) => void;
 }
 
 /**
  * Creates allowances.
  *
- * @param parts the limits and the way to the gateways that allocate them
+ * @param parts the limits and the transport to the gateways that allocate them
  */
 export function createAllowances(parts: AllowancesParts): Allowances {
   const { clock, random, node, limits } = parts;
-  const asked = new Map<string, Asked>();
-  /** Until when each server takes nothing more. */
+  const pendingById = new Map<string, PendingRequest>();
   const closedUntil = new Map<string, number>();
   let counter = 0;
 
-  /** Takes a send out of the limit, or tells how long there is no room. */
-  function decide(server: string, isUrgent: boolean): number {
+  /** Takes a request out of the limit and returns 0, or returns the time until there is room, in ms. */
+  function takeOrWait(server: string, isUrgent: boolean): number {
     const waitMs = limits.msUntilRoom(server, isUrgent ? 0 : 1);
     if (waitMs > 0) return waitMs * (1 + random.next());
     limits.take(server);
@@ -92,14 +92,14 @@
     counter += 1;
     const id = `${node}/${counter}`;
     return new Promise((resolve) => {
-      function settle(waitMs: number | undefined): void {
-        if (!asked.delete(id)) return;
+      function complete(waitMs: number | undefined): void {
+        if (!pendingById.delete(id)) return;
         timer.cancel();
-        resolve(waitMs ?? Math.min(MAX_SILENT_WAIT_MS, decide(server, isUrgent)));
+        resolve(waitMs ?? Math.min(MAX_WAIT_AFTER_TIMEOUT_MS, takeOrWait(server, isUrgent)));
       }
-      asked.set(id, { allocator, settle });
-      const timer: Timer = clock.after(SILENCE_MS, () => {
-        settle(undefined);
+      pendingById.set(id, { allocator, complete });
+      const timer: Timer = clock.after(ANSWER_TIMEOUT_MS, () => {
+        complete(undefined);
       });
       const notice = parts.noticeOf(server);
       const isSent = parts.send(allocator, {
@@ -109,7 +109,7 @@
         isUrgent,
         ...(notice && { notice }),
       });
-      if (!isSent) settle(undefined);
+      if (!isSent) complete(undefined);
     });
   }
 
@@ -117,29 +117,29 @@
     msUntilOpen: (server) => Math.max(0, (closedUntil.get(server) ?? 0) - clock.now()),
     async acquire(server, isUrgent) {
       const allocator = parts.allocatorOf(server);
-      const isOwn = allocator === node;
-      const waitMs = await (isOwn
-        ? decide(server, isUrgent)
+      const isAllocator = allocator === node;
+      const waitMs = await (isAllocator
+        ? takeOrWait(server, isUrgent)
         : askAllocator(allocator, server, isUrgent));
       if (waitMs <= 0) return true;
-      closedUntil.set(server, clock.now() + Math.max(LEAST_WAIT_MS, waitMs));
+      closedUntil.set(server, clock.now() + Math.max(MIN_WAIT_MS, waitMs));
       return false;
     },
     received(from, message) {
       match(message)
         .with({ kind: 'allowance.ask' }, ({ id, server, isUrgent, notice }) => {
           if (notice !== undefined) parts.applyNotice(from, notice);
-          const waitMs = decide(server, isUrgent);
+          const waitMs = takeOrWait(server, isUrgent);
           parts.send(from, { kind: 'allowance.answer', id, waitMs });
         })
         .with({ kind: 'allowance.answer' }, ({ id, waitMs }) => {
-          asked.get(id)?.settle(waitMs);
+          pendingById.get(id)?.complete(waitMs);
         })
         .exhaustive();
     },
     peerLost(peer) {
-      for (const { allocator, settle } of [...asked.values()]) {
-        if (allocator === peer) settle(undefined);
+      for (const { allocator, complete } of [...pendingById.values()]) {
+        if (allocator === peer) complete(undefined);
       }
     },
     forget(server) {
--- a/src/backpressure/backpressure.ts
+++ b/src/backpressure/backpressure.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this gateway to what backend servers ask of those that send to them. What binds all gateways is told to peers at
- * once, and again with the first heartbeat where two know different things.
+ * Complies with the backpressure signals of backend servers. Signals that apply to all gateways are
+ * gossiped to peers at once; anti-entropy on heartbeats repairs differences.
  */
 import type { Log } from '../events/index.js';
 import type { RegisteredServer } from '../fleet/index.js';
@@ -18,11 +18,11 @@
 import { createSendLimits, type SendLimits } from './send-limits.js';
 import type { ServerSignals } from './signals.js';
 
-/** A peer that knows something else is sent this gateway's table at most so often, in ms: news still under way settles
- * most differences by itself. */
-const COMPARE_MS = 2_000;
+/** Minimum interval between full tables to the same peer, in ms; gossip under way resolves most
+ * differences. */
+const SYNC_INTERVAL_MS = 2_000;
 
-/** What it needs. */
+/** Dependencies of backpressure. */
 export interface BackpressureParts {
   clock: Clock;
   random: RandomSource;
@@ -31,55 +31,56 @@
   node: string;
   /** The gateway that allocates the limit of a server. */
   allocatorOf(server: string): string;
-  /** Gateways that are known, this one included. */
+  /** Number of known gateways, including this one. */
   gateways(): number;
-  /** Tells all partners. */
+  /** Sends to all gossip partners. */
   broadcast(message: NoticesMessage): void;
-  /** A server has come to be known to leave. */
+  /** Called once for an incarnation that starts to drain. */
   serverLeaving(server: string): void;
-  /** Sends to a peer; false where there is no way to it. */
+  /** Sends to a peer; returns false without a link. */
   send(node: string, message: NoticesMessage | AllowanceMessage): boolean;
 }
 
-/** What servers have asked for, and room for sends to them. */
+/** Signals of servers, and the limits and pauses that follow from them. */
 export interface Backpressure {
   /**
-   * Takes in what an answer of a server asks for.
+   * Applies the signals of an answer.
    *
    * @param server the incarnation that answered
-   * @param signals what it asks for
-   * @param isSound whether it is a good answer to a request: only that ends a limit which it doesn't name
+   * @param signals the signals
+   * @param isSuccess whether the answer is a successful one to this request; only such an answer ends a
+   * limit by not containing it
    */
-  signalsReceived: (server: RegisteredServer, signals: ServerSignals, isSound: boolean) => void;
-  /** Time until a server may be sent anything after it has asked this gateway to pause, in ms. */
+  signalsReceived: (server: RegisteredServer, signals: ServerSignals, isSuccess: boolean) => void;
+  /** Remaining time of a server's pause, in ms. */
   msUntilResumed: (server: string) => number;
-  /** Servers that have asked this gateway to pause. */
+  /** Servers with a pause in force. */
   paused: () => string[];
   /** Time until a server of a plain service is worth choosing, by its limit and its pause, in ms. */
   msUntilOpen(server: string): number;
-  /** Room within the limits, for placements and for callers that are turned away. */
+  /** Rate limits, for placements and for the Retry-After of declined requests. */
   limits: SendLimits;
   /**
-   * Asks for leave to send one request to a server of a plain service.
+   * Requests an allowance to send one request to a server of a plain service.
    *
    * @param server the incarnation
-   * @param isUrgent whether it may take the last room
+   * @param isUrgent whether it may use the last room within the limit
    */
   acquireAllowance: Allowances['acquire'];
   received(node: string, message: NoticesMessage | AllowanceMessage): void;
-  /** A number that is the same in all gateways that know the same. */
+  /** Hash of the notices, equal on gateways with the same ones. */
   digest: () => number;
-  /** A peer has said its number. */
+  /** Compares the digest of a peer, and sends it all notices if they differ. */
   digestReceived: (node: string, digest: number) => void;
   peerLost(node: string): void;
-  /** A server is gone. */
+  /** Removes a server that is gone. */
   forget(id: string): void;
 }
 
 /**
- * Creates a record of nothing.
+ * Creates backpressure without signals.
  *
- * @param parts the way to peers, and who hears of changes
+ * @param parts the transport to peers and the handlers of changes
  */
 export function createBackpressure(parts: BackpressureParts): Backpressure {
   const { clock, random, log, metrics, node } = parts;
@@ -100,28 +101,28 @@
     allocatorOf: (server) => parts.allocatorOf(server),
     noticeOf: (server) => notices.rowOf(server, clock.now()),
     applyNotice(from, row) {
-      learn(unpackNotice(row, clock.now()), from);
+      applyNotice(unpackNotice(row, clock.now()), from);
     },
     send: (to, message) => parts.send(to, message),
   });
-  /** When each peer was last sent the whole table. */
-  const comparedAt = new Map<string, number>();
+  /** When each peer was last sent the full table. */
+  const syncedAt = new Map<string, number>();
 
-  function noteUnreadable({ id }: RegisteredServer, { unreadable }: ServerSignals): void {
+  function recordUnreadable({ id }: RegisteredServer, { unreadable }: ServerSignals): void {
     for (const { signal, text } of unreadable) {
       metrics.signals.inc({ signal: `unreadable-${signal}` });
       log.write('serverSignalUnreadable', { server: id, signal, text });
     }
   }
 
-  function notePause(server: string, { pauseMs }: ServerSignals): void {
+  function startPause(server: string, { pauseMs }: ServerSignals): void {
     if (pauseMs === undefined || pauseMs === 0 || pauses.start(server, pauseMs)) return;
     metrics.signals.inc({ signal: 'pause' });
     log.write('serverSignalled', { server, pauseMs, source: 'server' });
   }
 
-  /** Takes a notice in; tells whether it is news. */
-  function learn(notice: ServerNotice, source: string): boolean {
+  /** Applies a notice; returns whether to send it to other gateways. */
+  function applyNotice(notice: ServerNotice, source: string): boolean {
     const { server, isLeaving, limitPerS, at } = notice;
     const wasLeaving = notices.isLeaving(server);
     if (!notices.apply(notice, source !== 'server')) return false;
@@ -134,21 +135,21 @@
     return true;
   }
 
-  /** Whether an answer says something that binds all, or ends a limit. */
-  function isNotice(id: string, signals: ServerSignals, isSound: boolean): boolean {
+  /** Whether the signals of an answer apply to all gateways, or end a limit. */
+  function isNotice(id: string, signals: ServerSignals, isSuccess: boolean): boolean {
     const { isLeaving, limitPerS, unreadable } = signals;
     if (isLeaving || limitPerS !== undefined) return true;
-    // a limit that can't be read is still one
-    const isOver = isSound && !unreadable.some(({ signal }) => signal === 'limit');
-    return isOver && notices.limitOf(id) !== undefined;
+    // an unreadable limit does not end the one in force
+    const endsLimit = isSuccess && !unreadable.some(({ signal }) => signal === 'limit');
+    return endsLimit && notices.limitOf(id) !== undefined;
   }
 
-  function tell(rows: readonly NoticeRow[]): void {
+  function broadcast(rows: readonly NoticeRow[]): void {
     if (rows.length > 0) parts.broadcast({ kind: 'notices', rows: [...rows] });
   }
 
-  /** The allocating gateway needs it first, and may be no partner. */
-  function tellAllocator(server: string, rows: readonly NoticeRow[]): void {
+  /** Sends to the allocating gateway directly, since it may not be a gossip partner. */
+  function sendToAllocator(server: string, rows: readonly NoticeRow[]): void {
     const allocator = parts.allocatorOf(server);
     if (allocator !== node) parts.send(allocator, { kind: 'notices', rows: [...rows] });
   }
@@ -159,40 +160,40 @@
     paused: pauses.list,
     msUntilOpen: (server) => Math.max(pauses.remainingMs(server), allowances.msUntilOpen(server)),
     acquireAllowance: allowances.acquire,
-    signalsReceived(server, signals, isSound) {
-      noteUnreadable(server, signals);
+    signalsReceived(server, signals, isSuccess) {
+      recordUnreadable(server, signals);
       const { id } = server;
-      notePause(id, signals);
-      if (!isNotice(id, signals, isSound)) return;
+      startPause(id, signals);
+      if (!isNotice(id, signals, isSuccess)) return;
       const { isLeaving, limitPerS } = signals;
-      if (!learn({ server: id, isLeaving, limitPerS, at: clock.now() }, 'server')) return;
+      if (!applyNotice({ server: id, isLeaving, limitPerS, at: clock.now() }, 'server')) return;
       const row = notices.rowOf(id, clock.now());
       if (row === undefined) return;
-      tellAllocator(id, [row]);
-      tell([row]);
+      sendToAllocator(id, [row]);
+      broadcast([row]);
     },
     received(from, message) {
       if (message.kind !== 'notices') {
         allowances.received(from, message);
         return;
       }
-      const news: NoticeRow[] = [];
+      const changed: NoticeRow[] = [];
       for (const row of message.rows) {
-        if (learn(unpackNotice(row, clock.now()), from)) news.push(row);
+        if (applyNotice(unpackNotice(row, clock.now()), from)) changed.push(row);
       }
-      tell(news);
+      broadcast(changed);
     },
     digest: notices.digest,
     digestReceived(from, digest) {
       const now = clock.now();
       if (digest === notices.digest()) return;
-      if (now - (comparedAt.get(from) ?? Number.NEGATIVE_INFINITY) < COMPARE_MS) return;
-      comparedAt.set(from, now);
+      if (now - (syncedAt.get(from) ?? Number.NEGATIVE_INFINITY) < SYNC_INTERVAL_MS) return;
+      syncedAt.set(from, now);
       const rows = notices.rows(now);
       if (rows.length > 0) parts.send(from, { kind: 'notices', rows });
     },
     peerLost(peer) {
-      comparedAt.delete(peer);
+      syncedAt.delete(peer);
       allowances.peerLost(peer);
     },
     forget(id) {
--- a/src/backpressure/index.ts
+++ b/src/backpressure/index.ts
@@ -1,4 +1,4 @@
-/** What backend servers ask of those that send to them, and keeping to it. */
+/** Backpressure signals of backend servers, and compliance with them. */
 export { allowanceMessageSchemas, type AllowanceMessage } from './allowances.js';
 export * from './backpressure.js';
 export { noticesMessageSchema, type NoticesMessage } from './notices.js';
--- a/src/backpressure/notices.ts
+++ b/src/backpressure/notices.ts
@@ -1,26 +1,26 @@
 /**
- * What servers ask of all gateways together, by incarnation: a small table that all gateways keep alike. The latest
- * answer of a server counts; gateways tell each other its age, since their clocks differ.
+ * Table of the signals that servers send to all gateways together, by incarnation. Gateways replicate
+ * it by gossip; the latest answer of a server wins. Rows carry the age of the answer, since the
+ * gateways' clocks differ.
  */
 import * as z from 'zod';
 import { hashName } from '../gossip/index.js';
 
-/** A limit that differs by less than this part from the one that others were told is not told again: a server that works
- * out its limit anew for each answer would have them all tell each other without end. */
-const TOLD_SHARE = 0.1;
-/** What no answer has confirmed for so long is dropped, in ms: the server is gone, or nothing is sent to it, and the
- * next answer says it again. */
-const MEMORY_MS = 60_000;
+/** Minimum relative change of a limit that is sent to other gateways, so that a server that
+ * recalculates its limit for each answer does not cause constant gossip. */
+const MIN_CHANGE_SHARE = 0.1;
+/** Retention of an entry that no answer has confirmed, in ms. */
+const RETENTION_MS = 60_000;
 
-/** What a server asks of all gateways. */
+/** Signals of a server to all gateways. */
 export interface ServerNotice {
   /** The incarnation. */
   server: string;
-  /** It takes nothing new until it is gone. */
+  /** The server is draining. */
   isLeaving: boolean;
-  /** Requests a second; `undefined` where it names no limit any more. */
+  /** Requests per second; `undefined` without a limit. */
   limitPerS: number | undefined;
-  /** When its answer said so, on this gateway's clock in ms. */
+  /** When the server answered, on this gateway's clock in ms. */
   at: number;
 }
 
@@ -32,7 +32,7 @@
   ageMs: z.number(),
 });
 
-/** A notice as it is told. */
+/** A notice on the wire. */
 export type NoticeRow = z.infer<typeof noticeRowSchema>;
 
 export const noticesMessageSchema = z.object({
@@ -40,12 +40,12 @@
   rows: z.array(noticeRowSchema),
 });
 
-/** What servers ask for, as one gateway tells another. */
+/** Notices from one gateway to another. */
 export type NoticesMessage = z.infer<typeof noticesMessageSchema>;
 
-interface Entry extends ServerNotice {
-  /** The limit as others were told it last, or told it. */
-  toldPerS: number | undefined;
+interface TableEntry extends ServerNotice {
+  /** The limit that was last sent to or received from other gateways; the digest covers it. */
+  sharedPerS: number | undefined;
 }
 
 /** The table of one gateway. */
@@ -53,58 +53,58 @@
   limitOf: (server: string) => number | undefined;
   isLeaving: (server: string) => boolean;
   /**
-   * Takes an answer in.
+   * Applies a notice if it is newer than the known one.
    *
-   * @param notice what it said
-   * @param isTold whether it is another gateway's word
-   * @returns whether others are to be told
+   * @param notice the notice
+   * @param isFromPeer whether it came from another gateway
+   * @returns whether to send it to other gateways
    */
-  apply(notice: ServerNotice, isTold: boolean): boolean;
-  /** All that is known, to be told. */
+  apply(notice: ServerNotice, isFromPeer: boolean): boolean;
+  /** All rows, without expired ones. */
   rows(now: number): NoticeRow[];
   rowOf(server: string, now: number): NoticeRow | undefined;
-  /** A number that is the same in all gateways that know the same; 0 where no server asks for anything. */
+  /** Hash of the table, equal on gateways with the same content; 0 without signals. */
   digest: () => number;
   forget(server: string): void;
 }
 
 /** Creates an empty table. */
 export function createServerNotices(): ServerNotices {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, TableEntry>();
 
-  function isNews(before: number | undefined, after: number | undefined): boolean {
+  function isSignificantChange(before: number | undefined, after: number | undefined): boolean {
     if (before === undefined || after === undefined) return before !== after;
-    return Math.abs(after - before) > TOLD_SHARE * before;
+    return Math.abs(after - before) > MIN_CHANGE_SHARE * before;
   }
 
-  function pack({ server, isLeaving, limitPerS, at }: Entry, now: number): NoticeRow {
+  function pack({ server, isLeaving, limitPerS, at }: TableEntry, now: number): NoticeRow {
     return { server, isLeaving, ageMs: now - at, ...(limitPerS !== undefined && { limitPerS }) };
   }
 
   return {
     limitOf: (server) => entries.get(server)?.limitPerS,
     isLeaving: (server) => entries.get(server)?.isLeaving === true,
-    apply(notice, isTold) {
+    apply(notice, isFromPeer) {
       const { server } = notice;
       const known = entries.get(server);
+      // leaving is final for an incarnation, so that it applies even from an older notice
       const isLeaving = notice.isLeaving || known?.isLeaving === true;
-      const hasLeft = isLeaving && known?.isLeaving !== true;
-      // an incarnation that leaves doesn't come back, whichever answer comes last
+      const startsLeaving = isLeaving && known?.isLeaving !== true;
       const isOlder =
-        known !== undefined && (isTold ? notice.at <= known.at : notice.at < known.at);
+        known !== undefined && (isFromPeer ? notice.at <= known.at : notice.at < known.at);
       const latest = isOlder ? known : notice;
-      if (latest === known && !hasLeft) return false;
+      if (latest === known && !startsLeaving) return false;
       const { limitPerS, at } = latest;
       if (known === undefined && limitPerS === undefined && !isLeaving) return false;
-      const hasChanged = isNews(known?.toldPerS, limitPerS);
-      const toldPerS = isTold || hasChanged ? limitPerS : known?.toldPerS;
-      entries.set(server, { server, isLeaving, limitPerS, at, toldPerS });
-      return hasChanged || hasLeft;
+      const hasChanged = isSignificantChange(known?.sharedPerS, limitPerS);
+      const sharedPerS = isFromPeer || hasChanged ? limitPerS : known?.sharedPerS;
+      entries.set(server, { server, isLeaving, limitPerS, at, sharedPerS });
+      return hasChanged || startsLeaving;
     },
     rows(now) {
       const found: NoticeRow[] = [];
       for (const entry of [...entries.values()]) {
-        if (now - entry.at > MEMORY_MS) entries.delete(entry.server);
+        if (now - entry.at > RETENTION_MS) entries.delete(entry.server);
         else found.push(pack(entry, now));
       }
       return found;
@@ -115,9 +115,9 @@
     },
     digest() {
       let sum = 0;
-      for (const { server, isLeaving, toldPerS } of entries.values()) {
-        if (!isLeaving && toldPerS === undefined) continue;
-        sum = (sum + hashName(`${server}/${isLeaving}/${toldPerS ?? ''}`)) >>> 0;
+      for (const { server, isLeaving, sharedPerS } of entries.values()) {
+        if (!isLeaving && sharedPerS === undefined) continue;
+        sum = (sum + hashName(`${server}/${isLeaving}/${sharedPerS ?? ''}`)) >>> 0;
       }
       return sum;
     },
@@ -128,9 +128,9 @@
 }
 
 /**
- * Reads a notice that was told.
+ * Converts a row from another gateway.
  *
- * @param row a peer's
+ * @param row the row
  * @param now this gateway's clock, in ms
  */
 export function unpackNotice(row: NoticeRow, now: number): ServerNotice {
--- a/src/backpressure/pauses.ts
+++ b/src/backpressure/pauses.ts
@@ -1,20 +1,19 @@
 /**
- * Servers that have asked this gateway to pause when they turned one of its requests away. It binds this gateway alone;
- * others are asked by themselves.
+ * Pauses that servers requested when they declined a request of this gateway. They apply to this
+ * gateway only.
  */
 import type { Clock, RandomSource } from '../task/index.js';
 
-/** The longest pause that is kept, in ms: one request then asks whether it still holds, so that a garbled answer doesn't
- * end the use of a server. */
+/** Maximum pause, in ms, so that a malformed answer can't take a server out of use for long. */
 const MAX_PAUSE_MS = 60_000;
-/** Part of a pause that is added at random, so that gateways that were asked together don't come back together. */
-const SPREAD_SHARE = 0.1;
+/** Random share added to a pause, so that gateways don't all resume at once. */
+const JITTER_SHARE = 0.1;
 
-/** Servers that asked this gateway to pause. */
+/** Pauses by server. */
 export interface Pauses {
-  /** A server has asked for a pause; tells whether one was in force already. */
+  /** Starts or extends a pause; returns whether one was already in force. */
   start(server: string, pauseMs: number): boolean;
-  /** Time until the server may be sent anything, in ms. */
+  /** Time until the server may be sent requests, in ms. */
   remainingMs: (server: string) => number;
   /** Servers with a pause in force. */
   list: () => string[];
@@ -22,33 +21,33 @@
 }
 
 /**
- * Creates pauses of no server.
+ * Creates a record without pauses.
  *
  * @param clock the gateway's clock
- * @param random spreads the ends
+ * @param random source of the jitter
  */
 export function createPauses(clock: Clock, random: RandomSource): Pauses {
-  const until = new Map<string, number>();
+  const endAtByServer = new Map<string, number>();
 
-  function msLeft(server: string): number {
-    const endAt = until.get(server);
+  function remainingMs(server: string): number {
+    const endAt = endAtByServer.get(server);
     if (endAt === undefined) return 0;
     const leftMs = endAt - clock.now();
-    if (leftMs <= 0) until.delete(server);
+    if (leftMs <= 0) endAtByServer.delete(server);
     return Math.max(0, leftMs);
   }
 
   return {
     start(server, pauseMs) {
-      const isPaused = msLeft(server) > 0;
-      const lastsMs = Math.min(MAX_PAUSE_MS, pauseMs * (1 + SPREAD_SHARE * random.next()));
-      until.set(server, Math.max(until.get(server) ?? 0, clock.now() + lastsMs));
-      return isPaused;
+      const wasPaused = remainingMs(server) > 0;
+      const durationMs = Math.min(MAX_PAUSE_MS, pauseMs * (1 + JITTER_SHARE * random.next()));
+      endAtByServer.set(server, Math.max(endAtByServer.get(server) ?? 0, clock.now() + durationMs));
+      return wasPaused;
     },
-    remainingMs: msLeft,
-    list: () => [...until.keys()].filter((server) => msLeft(server) > 0),
+    remainingMs,
+    list: () => [...endAtByServer.keys()].filter((server) => remainingMs(server) > 0),
     forget(server) {
-      until.delete(server);
+      endAtByServer.delete(server);
     },
   };
 }
--- a/src/backpressure/signals.ts
+++ b/src/backpressure/signals.ts
@@ -1,29 +1,29 @@
 /**
- * What a backend server asks of those that send to it, as it says in the head of an answer: the adapter decodes it, once
- * for every kind of answer. Each signal binds more than the exchange that heard it: leaving binds all sends to this
- * incarnation, a pause those of this gateway, a rate limit those of all gateways together.
+ * Backpressure signals that a backend server sends in the head of an answer, decoded by the adapter.
+ * Leaving applies to all requests to this incarnation, a pause to those of the receiving gateway, and a
+ * rate limit to those of all gateways together.
  */
 
-/** What the head of one answer asks for. */
+/** Signals in the head of one answer. */
 export interface ServerSignals {
-  /** The server leaves: it wants nothing new until it is gone. */
+  /** The server is draining and accepts no new requests until it is gone. */
   isLeaving: boolean;
-  /** Time for which it wants nothing from this gateway, in milliseconds. */
+  /** Time for which it accepts nothing from this gateway, in milliseconds. */
   pauseMs: number | undefined;
-  /** Requests a second that it takes from all gateways together, as long as its answers say so. */
+  /** Requests per second that it accepts from all gateways together, while its answers say so. */
   limitPerS: number | undefined;
-  /** What was said and can't be read; it counts as not said. */
+  /** Signals that could not be parsed; they are otherwise ignored. */
   unreadable: readonly UnreadableSignal[];
 }
 
-/** A signal that can't be read. */
+/** A signal that could not be parsed. */
 export interface UnreadableSignal {
   signal: 'leaving' | 'pause' | 'limit';
-  /** The start of what was said. */
+  /** The start of the text. */
   text: string;
 }
 
-/** Of an answer that asks for nothing. */
+/** An answer without signals. */
 export const noSignals: ServerSignals = {
   isLeaving: false,
   pauseMs: undefined,
--- a/test/backpressure/backpressure.test.ts
+++ b/test/backpressure/backpressure.test.ts
@@ -20,7 +20,7 @@
 
 function setUp(allocator = 'self') {
   const { clock, advance, runUntil } = createFakeClock();
-  const left: string[] = [];
+  const leaving: string[] = [];
   const backpressure = createBackpressure({
     clock,
     random: createSeededRandom(1),
@@ -29,15 +29,15 @@
     node: 'self',
     allocatorOf: () => allocator,
     gateways: () => 7,
-    serverLeaving: (id) => left.push(id),
+    serverLeaving: (id) => leaving.push(id),
     broadcast: () => undefined,
     send: () => true,
   });
-  return { backpressure, advance, runUntil, left };
+  return { backpressure, advance, runUntil, leaving };
 }
 
-describe('what a gateway has heard of a server', () => {
-  it('keeps a limit over errors, refusals and words that cannot be read', () => {
+describe('backpressure', () => {
+  it('keeps a limit after unsuccessful answers and unreadable signals', () => {
     const { backpressure } = setUp();
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4 }, true);
     backpressure.signalsReceived(server, noSignals, false);
@@ -48,7 +48,7 @@
     expect(backpressure.limits.isLimited(server.id)).to.equal(false);
   });
 
-  it('does not let an older word of a peer undo a newer one', async () => {
+  it('ignores a notice from a peer that is older than the known one', async () => {
     const { backpressure, advance } = setUp();
     await advance(1_000);
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4 }, true);
@@ -60,24 +60,24 @@
     expect(backpressure.limits.isLimited(server.id)).to.equal(false);
   });
 
-  it('takes a server for leaving for good, whichever word comes last', () => {
-    const { backpressure, left } = setUp();
+  it('keeps an incarnation leaving whichever notice comes last', () => {
+    const { backpressure, leaving } = setUp();
     backpressure.signalsReceived(server, { ...noSignals, isLeaving: true }, true);
     backpressure.signalsReceived(server, noSignals, true);
     const rows = [{ server: server.id, isLeaving: false, ageMs: 0 }];
     backpressure.received('peer', { kind: 'notices', rows });
-    expect(left).to.deep.equal([server.id]);
+    expect(leaving).to.deep.equal([server.id]);
     expect(backpressure.digest()).to.not.equal(0);
   });
 
-  it('says nothing of another incarnation', () => {
+  it('does not apply signals to another incarnation', () => {
     const { backpressure } = setUp();
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4, pauseMs: 500 }, false);
     expect(backpressure.limits.isLimited('s@2')).to.equal(false);
     expect(backpressure.msUntilResumed('s@2')).to.equal(0);
   });
 
-  it('makes a pause no longer than a minute, and none of no time', () => {
+  it('limits a pause to a minute and ignores one of 0 ms', () => {
     const { backpressure } = setUp();
     backpressure.signalsReceived(server, { ...noSignals, pauseMs: 0 }, false);
     expect(backpressure.paused()).to.deep.equal([]);
@@ -85,7 +85,7 @@
     expect(backpressure.msUntilResumed(server.id)).to.be.within(59_000, 61_000);
   });
 
-  it('closes a server only briefly where the gateway that allocates its limit is silent', async () => {
+  it('closes a server only briefly when its allocating gateway does not answer', async () => {
     const { backpressure, runUntil } = setUp('other');
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 0.5 }, true);
     expect(await runUntil(backpressure.acquireAllowance(server.id, true))).to.equal(false);
--- a/test/backpressure/signals.test.ts
+++ b/test/backpressure/signals.test.ts
@@ -2,16 +2,16 @@
 import { readSignals } from '../../platform/headers.js';
 
 const OK = 200;
-const TURNED_AWAY = 503;
+const DECLINED = 503;
 
 function read(headers: Record<string, string>, status = OK) {
   return readSignals({ status, headers });
 }
 
-describe('what a server asks for in its answer', () => {
-  it('is nothing where it says nothing', () => {
-    const asked = read({ 'x-server-signature': 's' });
-    expect(asked).to.deep.equal({
+describe('readSignals', () => {
+  it('finds no signals in an answer without signal headers', () => {
+    const signals = read({ 'x-server-signature': 's' });
+    expect(signals).to.deep.equal({
       isLeaving: false,
       pauseMs: undefined,
       limitPerS: undefined,
@@ -19,31 +19,31 @@
     });
   });
 
-  it('is decoded whatever the status', () => {
-    for (const status of [OK, 421, 500, TURNED_AWAY]) {
-      const asked = read({ 'server-leaving': '1', 'server-limit': '8.25' }, status);
-      expect(asked).to.deep.include({ isLeaving: true, limitPerS: 8.25 });
+  it('reads leaving and limit for any status', () => {
+    for (const status of [OK, 421, 500, DECLINED]) {
+      const signals = read({ 'server-leaving': '1', 'server-limit': '8.25' }, status);
+      expect(signals).to.deep.include({ isLeaving: true, limitPerS: 8.25 });
     }
   });
 
-  it('has a pause only where the server turned the request away', () => {
-    expect(read({ 'retry-after': '3' }, TURNED_AWAY).pauseMs).to.equal(3_000);
-    expect(read({ 'retry-after': '0.5' }, TURNED_AWAY).pauseMs).to.equal(500);
+  it('reads a pause only from an answer that declines the request', () => {
+    expect(read({ 'retry-after': '3' }, DECLINED).pauseMs).to.equal(3_000);
+    expect(read({ 'retry-after': '0.5' }, DECLINED).pauseMs).to.equal(500);
     expect(read({ 'retry-after': '3' }).pauseMs).to.equal(undefined);
   });
 
   for (const text of ['', '-1', 'NaN', 'Infinity', '1e309', '5, 5', 'soon', '9'.repeat(400)]) {
-    it(`counts as not said where it reads "${text.slice(0, 9)}"`, () => {
-      const asked = read({ 'server-limit': text, 'retry-after': text }, TURNED_AWAY);
-      expect(asked).to.deep.include({ limitPerS: undefined, pauseMs: undefined });
-      expect(asked.unreadable.map(({ signal }) => signal)).to.deep.equal(['pause', 'limit']);
+    it(`reports "${text.slice(0, 9)}" as unreadable`, () => {
+      const signals = read({ 'server-limit': text, 'retry-after': text }, DECLINED);
+      expect(signals).to.deep.include({ limitPerS: undefined, pauseMs: undefined });
+      expect(signals.unreadable.map(({ signal }) => signal)).to.deep.equal(['pause', 'limit']);
     });
   }
 
-  it('does not take a date for seconds, nor any text for leaving', () => {
+  it('does not accept a date as seconds or other text for leaving', () => {
     const date = 'Thu, 03 Dec 2026 07:00:00 GMT';
-    const asked = read({ 'server-leaving': 'yes', 'retry-after': date }, TURNED_AWAY);
-    expect(asked).to.deep.include({ isLeaving: false, pauseMs: undefined });
-    expect(asked.unreadable.map(({ signal }) => signal)).to.deep.equal(['leaving', 'pause']);
+    const signals = read({ 'server-leaving': 'yes', 'retry-after': date }, DECLINED);
+    expect(signals).to.deep.include({ isLeaving: false, pauseMs: undefined });
+    expect(signals.unreadable.map(({ signal }) => signal)).to.deep.equal(['leaving', 'pause']);
   });
 });
