--- a/src/limits/home.ts
+++ b/src/limits/home.ts
@@ -6,7 +6,7 @@
 import type { Limits } from '../configuration/objects.js';
 import type { LimitAllowance, LimitDraw } from '../links/index.js';
 import type { Clock } from '../task/index.js';
-import { PLACES_LIFE_MS, REQUEST_BURST_MS, TOKEN_BURST_MS } from './terms.js';
+import { PLACES_TTL_MS, REQUEST_BURST_MS, TOKEN_BURST_MS } from './terms.js';
 import { createTokenBucket, type TokenBucket } from './token-bucket.js';
 
 /** What a home needs. */
@@ -115,7 +115,7 @@
   if (concurrency === undefined) return draw.places;
   let others = 0;
   for (const [holder, { places, heardAt }] of state.places) {
-    if (now - heardAt > PLACES_LIFE_MS) state.places.delete(holder);
+    if (now - heardAt > PLACES_TTL_MS) state.places.delete(holder);
     else if (holder !== node) others += places;
   }
   const places = Math.max(draw.inUse, Math.min(draw.places, concurrency - others));
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,5 +1,5 @@
 /** Limits of teams, held over all nodes by allowances that nodes draw from each team's home. */
-export * from './allowances.js';
+export * from './team-limiter.js';
 export * from './home.js';
 export * from './limited-runners.js';
 export * from './terms.js';
--- a/src/limits/limited-runners.ts
+++ b/src/limits/limited-runners.ts
@@ -4,7 +4,7 @@
 import { Err } from 'ts-results-es';
 import type { CompletionJob, CompletionRunner, CompletionStream } from '../router/completion.js';
 import type { ServiceCallRunner } from '../router/service-call.js';
-import type { Allowances } from './allowances.js';
+import type { TeamLimiter } from './team-limiter.js';
 
 /**
  * Puts limits before the running of generations.
@@ -14,12 +14,12 @@
  */
 export function limitCompletions(
   runner: CompletionRunner,
-  allowances: Allowances,
+  allowances: TeamLimiter,
 ): CompletionRunner {
   async function* run(job: CompletionJob, signal: AbortSignal): CompletionStream {
     const { team, requestClass, promptTokens, maxTokens } = job;
     const expected = promptTokens + Math.min(maxTokens, requestClass.expectedOutputTokens);
-    const entered = await allowances.enter(team, expected);
+    const entered = await allowances.admit(team, expected);
     if (entered.isErr()) {
       yield Err(entered.error);
       return;
@@ -46,11 +46,11 @@
  */
 export function limitServiceCalls(
   runner: ServiceCallRunner,
-  allowances: Allowances,
+  allowances: TeamLimiter,
 ): ServiceCallRunner {
   return {
     async run(job, signal, beforeSend) {
-      const entered = await allowances.enter(job.team, 0);
+      const entered = await allowances.admit(job.team, 0);
       if (entered.isErr()) return entered;
       try {
         return await runner.run(job, signal, beforeSend);
--- a/src/limits/allowances.ts
+++ b/src/limits/team-limiter.ts
@@ -8,7 +8,7 @@
 import type { LimitAllowance, LimitDraw } from '../links/index.js';
 import type { Clock, Timer } from '../task/index.js';
 import { createLimitHome, type LimitHome } from './home.js';
-import { ALLOWANCE_LIFE_MS, BATCH_MS, RENEW_EVERY_MS } from './terms.js';
+import { ALLOWANCE_TTL_MS, BATCH_MS, RENEWAL_INTERVAL_MS } from './terms.js';
 
 /** What a request is charged with until it ends. */
 export interface LimitTicket {
@@ -17,7 +17,7 @@
 }
 
 /** What a node's allowances need. */
-export interface AllowancesParts {
+export interface TeamLimiterParts {
   node: string;
   clock: Clock;
   /** Asks a team's home, this node's own included; `undefined` when it cannot be reached. */
@@ -27,9 +27,9 @@
 }
 
 /** A node's allowances. */
-export interface Allowances {
+export interface TeamLimiter {
   /** Lets a request of a team pass, or refuses it with the time to come back. */
-  enter(team: Team, expectedTokens: number): Promise<Result<LimitTicket, Failure>>;
+  admit(team: Team, expectedTokens: number): Promise<Result<LimitTicket, Failure>>;
   stop(): void;
 }
 
@@ -69,7 +69,7 @@
  *
  * @param parts how to reach homes
  */
-export function createAllowances(parts: AllowancesParts): Allowances {
+export function createTeamLimiter(parts: TeamLimiterParts): TeamLimiter {
   const { clock, node } = parts;
   const allowances = new Map<string, TeamAllowance>();
   let renewal: Timer | undefined;
@@ -171,7 +171,7 @@
     allowance.requests += drawn.requests;
     allowance.tokens += drawn.tokens;
     allowance.places = Math.max(drawn.places, allowance.inUse);
-    if (drawn.retryAfterMs === 0) allowance.spendBy = now + ALLOWANCE_LIFE_MS;
+    if (drawn.retryAfterMs === 0) allowance.spendBy = now + ALLOWANCE_TTL_MS;
     allowance.spentRequests = 0;
     allowance.spentTokens = 0;
     allowance.drawnAt = now;
@@ -222,7 +222,7 @@
   }
 
   function scheduleRenewal(): void {
-    renewal ??= clock.after(RENEW_EVERY_MS, () => {
+    renewal ??= clock.after(RENEWAL_INTERVAL_MS, () => {
       renewal = undefined;
       for (const allowance of [...allowances.values()]) renew(allowance);
       if (allowances.size > 0) scheduleRenewal();
@@ -243,7 +243,7 @@
   }
 
   return {
-    enter,
+    admit: enter,
     stop() {
       renewal?.cancel();
     },
--- a/src/limits/terms.ts
+++ b/src/limits/terms.ts
@@ -23,7 +23,7 @@
  */
 
 /** How long an allowance that is not spent may be used, in milliseconds. */
-export const ALLOWANCE_LIFE_MS = 1_000;
+export const ALLOWANCE_TTL_MS = 1_000;
 /** A batch is what the node spent in this time, in milliseconds. */
 export const BATCH_MS = 200;
 /** What a bucket of requests holds, in milliseconds of its rate. */
@@ -31,6 +31,6 @@
 /** What a bucket of tokens holds, in milliseconds of its rate. */
 export const TOKEN_BURST_MS = 10_000;
 /** Time between two renewals of the places that a node holds. */
-export const RENEW_EVERY_MS = 1_000;
+export const RENEWAL_INTERVAL_MS = 1_000;
 /** Places of a node that did not renew them for this long are free again. */
-export const PLACES_LIFE_MS = 3_000;
+export const PLACES_TTL_MS = 3_000;
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../events/index.js';
 import type { LapseWatch } from '../lease/index.js';
 import {
-  createAllowances,
+  createTeamLimiter,
   createLimitHome,
   limitCompletions,
   limitServiceCalls,
@@ -82,7 +82,7 @@
     clock,
     limitsOf: (team) => replica.current().teams.get(team)?.limits,
   });
-  const allowances = createAllowances({
+  const allowances = createTeamLimiter({
     node,
     clock,
     draw: drawLimits,
--- a/test/limits/allowances.test.ts
+++ b/test/limits/allowances.test.ts
@@ -2,10 +2,10 @@
 import fc from 'fast-check';
 import type { Team } from '../../src/configuration/index.js';
 import {
-  ALLOWANCE_LIFE_MS,
-  createAllowances,
+  ALLOWANCE_TTL_MS,
+  createTeamLimiter,
   createLimitHome,
-  RENEW_EVERY_MS,
+  RENEWAL_INTERVAL_MS,
   REQUEST_BURST_MS,
   type LimitHome,
   type LimitTicket,
@@ -24,7 +24,7 @@
   const openHome = () => createLimitHome({ clock, limitsOf: () => team.limits });
   const control: { home: LimitHome | undefined; draws: number } = { home: openHome(), draws: 0 };
   const nodes = Array.from({ length: count }, (_, index) =>
-    createAllowances({
+    createTeamLimiter({
       node: `entry-${index}`,
       clock,
       aliveCount: () => count,
@@ -54,14 +54,14 @@
         let refused = 0;
         const gapMs = 1_000 / (rate * offered);
         while (clock.now() < 3_000) {
-          const entered = await nodes[Math.floor(random.next() * count)]?.enter(team, 0);
+          const entered = await nodes[Math.floor(random.next() * count)]?.admit(team, 0);
           if (entered?.isOk() === true) passed.push(clock.now());
           else refused += 1;
           await advance(gapMs);
         }
         const windowMs = 1_000;
         const burst = (rate * REQUEST_BURST_MS) / 1_000;
-        const bound = (rate * (windowMs + ALLOWANCE_LIFE_MS)) / 1_000 + burst;
+        const bound = (rate * (windowMs + ALLOWANCE_TTL_MS)) / 1_000 + burst;
         for (const from of passed) {
           const inside = passed.filter((at) => at >= from && at < from + windowMs).length;
           expect(inside).to.be.at.most(bound);
@@ -79,7 +79,7 @@
     const { nodes, control } = createNodes(team, 1);
     const codes: (string | undefined)[] = [];
     for (let index = 0; index < 50; index += 1) {
-      const entered = await nodes[0]?.enter(team, 0);
+      const entered = await nodes[0]?.admit(team, 0);
       codes.push(entered?.isErr() === true ? entered.error.code : undefined);
       if (entered?.isErr() === true) expect(entered.error.retryAfterMs).to.be.within(50, 500);
     }
@@ -100,15 +100,15 @@
         const running: LimitTicket[] = [];
         for (const { node, enters, ms } of taken) {
           if (!enters) running.shift()?.end(0);
-          const entered = enters ? await nodes[node]?.enter(team, 0) : undefined;
+          const entered = enters ? await nodes[node]?.admit(team, 0) : undefined;
           if (entered?.isOk() === true) running.push(entered.value);
           if (entered?.isErr() === true) expect(entered.error.code).to.equal('concurrency-limited');
           expect(running.length).to.be.at.most(5);
           await advance(ms);
         }
         for (const ticket of running) ticket.end(0);
-        await advance(2 * RENEW_EVERY_MS);
-        expect((await nodes[0]?.enter(team, 0))?.isOk()).to.equal(true);
+        await advance(2 * RENEWAL_INTERVAL_MS);
+        expect((await nodes[0]?.admit(team, 0))?.isOk()).to.equal(true);
       }),
       { numRuns: 25 },
     );
@@ -117,14 +117,14 @@
   it('charge tokens as expected and then as they were', async () => {
     const team = createTeam({ tokensPerMinute: 6_000 });
     const { advance, nodes } = createNodes(team, 1);
-    const first = await nodes[0]?.enter(team, 100);
+    const first = await nodes[0]?.admit(team, 100);
     if (first?.isOk() !== true) throw new Error('refused');
     first.value.end(1_100);
-    const second = await nodes[0]?.enter(team, 100);
+    const second = await nodes[0]?.admit(team, 100);
     expect(second?.isErr()).to.equal(true);
     if (second?.isErr() === true) expect(second.error.retryAfterMs).to.be.within(500, 3_000);
     await advance(2_500);
-    expect((await nodes[0]?.enter(team, 100))?.isOk()).to.equal(true);
+    expect((await nodes[0]?.admit(team, 100))?.isOk()).to.equal(true);
   });
 
   it('go on with a new home within one more burst', async () => {
@@ -133,7 +133,7 @@
     let passed = 0;
     while (clock.now() < 4_000) {
       if (clock.now() === 2_000) control.home = openHome();
-      for (const node of nodes) passed += (await node.enter(team, 0)).isOk() ? 1 : 0;
+      for (const node of nodes) passed += (await node.admit(team, 0)).isOk() ? 1 : 0;
       await advance(20);
     }
     expect(passed).to.be.within(40, 10 * 4 + 2 * 10 + 3);
@@ -145,7 +145,7 @@
     control.home = undefined;
     let passed = 0;
     while (clock.now() < 2_000) {
-      for (const node of nodes) passed += (await node.enter(team, 0)).isOk() ? 1 : 0;
+      for (const node of nodes) passed += (await node.admit(team, 0)).isOk() ? 1 : 0;
       await advance(20);
     }
     expect(passed).to.be.within(54, 30 * 2 + 30 + 3);
@@ -154,7 +154,7 @@
   it('cost nothing for a team without any', async () => {
     const team = createTeam({});
     const { nodes, control } = createNodes(team, 1);
-    expect((await nodes[0]?.enter(team, 1e9))?.isOk()).to.equal(true);
+    expect((await nodes[0]?.admit(team, 1e9))?.isOk()).to.equal(true);
     expect(control.draws).to.equal(0);
   });
 });
