--- a/src/node/held-shards.ts
+++ b/src/node/held-shards.ts
@@ -15,7 +15,7 @@
   watchService,
   type HeldShard,
   type ServerWatch,
-  type ServerWatchOwner,
+  type ServerWatchListener,
   type Shard,
 } from '../shards/index.js';
 import type { Decisions } from '../settings/index.js';
@@ -118,8 +118,8 @@
   }
 
   function startWatch(holding: Holding, vm: Vm): ServerWatch {
-    const owner = createWatchOwner(holding);
-    const watchParts = { clock: parts.clock, everyMs: parts.watchEveryMs, owner };
+    const listener = createWatchListener(holding);
+    const watchParts = { clock: parts.clock, intervalMs: parts.watchEveryMs, listener };
     if (holding.kind === 'model-engine') {
       return watchEngine(parts.backends.engine(vm.id, vm.address), watchParts);
     }
@@ -194,19 +194,19 @@
   };
 }
 
-function createWatchOwner({ holder, orders }: Holding): ServerWatchOwner {
+function createWatchListener({ holder, orders }: Holding): ServerWatchListener {
   return {
-    engineState(state) {
+    engineStateReceived(state) {
       holder.updateEngine(state);
       orders?.updateEngine(state);
     },
-    serviceState(state) {
+    serviceStateReceived(state) {
       holder.updateService(state);
     },
-    cacheEvents(server, events) {
+    cacheEventsReceived(server, events) {
       holder.applyCacheEvents(server, events);
     },
-    silent(server) {
+    answerMissed(server) {
       holder.recordMissedAnswer(server);
     },
   };
--- a/src/shards/ownership.ts
+++ b/src/shards/ownership.ts
@@ -7,7 +7,7 @@
 import type { ShardSummary } from '../links/index.js';
 import type { Row, TableService } from '../ports/index.js';
 import type { Clock, Timer } from '../task/index.js';
-import { rankNodes, selectNearNodes, type PlacedNode, type Shard } from './partition.js';
+import { rankNodes, selectNearNodes, type ZonedNode, type Shard } from './partition.js';
 import { parseShardRow, shardRowKey, type ShardRow } from './rows.js';
 
 /** Nodes that may try to take one shard. */
@@ -32,14 +32,14 @@
   log: Log;
   node: string;
   /** Time between two looks at the shards. */
-  everyMs: number;
+  intervalMs: number;
   /** A holder's summary counts as fresh for this long. */
-  freshMs: number;
+  summaryTtlMs: number;
   shards(): Shard[];
   /** Names of the nodes that take new work; the same array until it changes. */
   aliveNodes(): readonly string[];
   /** The same nodes with their availability zones. */
-  placedNodes(): readonly PlacedNode[];
+  zonedNodes(): readonly ZonedNode[];
   leaseHolder(): LeaseHolder | undefined;
   isLeaseValid(): boolean;
   readNodeRow(node: string): Promise<NodeRow | undefined>;
@@ -51,7 +51,7 @@
 export interface KnownHolder {
   node: string;
   fence: number;
-  heardAt: number;
+  receivedAt: number;
   summary: ShardSummary;
 }
 
@@ -107,7 +107,7 @@
       held.has(shard) ||
       (known !== undefined &&
         alive.includes(known.node) &&
-        clock.now() - known.heardAt <= parts.freshMs);
+        clock.now() - known.receivedAt <= parts.summaryTtlMs);
     if (hasHolder) {
       orphanedSince.delete(shard);
       triedAt.delete(shard);
@@ -125,7 +125,7 @@
     if (rank < 0 || rank >= CANDIDATES) return false;
     const now = clock.now();
     const orphanedFor = now - (orphanedSince.get(name) ?? now);
-    if (orphanedFor < rank * parts.freshMs) return false;
+    if (orphanedFor < rank * parts.summaryTtlMs) return false;
     return now - (triedAt.get(name) ?? -Infinity) >= resolvePause(orphanedFor);
   }
 
@@ -137,7 +137,7 @@
     }
     const known = ranks.get(shard.name);
     if (known !== undefined) return known;
-    const near = selectNearNodes(shard, parts.placedNodes(), CANDIDATES);
+    const near = selectNearNodes(shard, parts.zonedNodes(), CANDIDATES);
     const rank = rankNodes(shard.name, near).indexOf(node);
     ranks.set(shard.name, rank);
     return rank;
@@ -236,7 +236,7 @@
   function step(): void {
     running = round();
     void running.then(() => {
-      if (!stopped) timer = clock.after(parts.everyMs, step);
+      if (!stopped) timer = clock.after(parts.intervalMs, step);
     });
   }
 
@@ -266,7 +266,7 @@
       holders.set(summary.shard, {
         node: summary.holder,
         fence: summary.fence,
-        heardAt: clock.now(),
+        receivedAt: clock.now(),
         summary,
       });
     },
--- a/src/shards/partition.ts
+++ b/src/shards/partition.ts
@@ -94,7 +94,7 @@
 }
 
 /** A node, as far as its nearness to servers goes. */
-export interface PlacedNode {
+export interface ZonedNode {
   node: string;
   zone: string;
 }
@@ -109,7 +109,7 @@
  */
 export function selectNearNodes(
   shard: Shard,
-  nodes: readonly PlacedNode[],
+  nodes: readonly ZonedNode[],
   least: number,
 ): string[] {
   const zones = new Set<string>();
--- a/src/shards/server-watch.ts
+++ b/src/shards/server-watch.ts
@@ -16,13 +16,13 @@
 import type { Result } from 'ts-results-es';
 
 /** What the watch tells its owner. */
-export interface ServerWatchOwner {
-  engineState(state: EngineState): void;
-  serviceState(state: ServiceState): void;
+export interface ServerWatchListener {
+  engineStateReceived(state: EngineState): void;
+  serviceStateReceived(state: ServiceState): void;
   /** Changes of the engine's prefix cache, late and with gaps. */
-  cacheEvents(server: string, events: readonly CacheEvent[]): void;
+  cacheEventsReceived(server: string, events: readonly CacheEvent[]): void;
   /** The server did not answer. */
-  silent(server: string, failure: Failure): void;
+  answerMissed(server: string, failure: Failure): void;
 }
 
 /** A watch over one server. */
@@ -33,8 +33,8 @@
 /** What a watch needs. */
 export interface ServerWatchParts {
   clock: Clock;
-  everyMs: number;
-  owner: ServerWatchOwner;
+  intervalMs: number;
+  listener: ServerWatchListener;
 }
 
 /**
@@ -44,14 +44,14 @@
  * @param parts the clock and who is told
  */
 export function watchEngine(engine: ModelEngine, parts: ServerWatchParts): ServerWatch {
-  const events = createCacheReader(engine, parts.owner);
+  const events = createCacheReader(engine, parts.listener);
   let incarnation = '';
   return watch(engine, parts, {
     async readState() {
       const state = await engine.state();
       if (state.isErr()) return state;
       incarnation = state.value.incarnation;
-      parts.owner.engineState(state.value);
+      parts.listener.engineStateReceived(state.value);
       return state;
     },
     readMore: () => events.read(incarnation),
@@ -68,7 +68,7 @@
   return watch(service, parts, {
     async readState() {
       const state = await service.state();
-      if (state.isOk()) parts.owner.serviceState(state.value);
+      if (state.isOk()) parts.listener.serviceStateReceived(state.value);
       return state;
     },
     readMore: () => Promise.resolve(),
@@ -80,7 +80,7 @@
 }
 
 /** Reads on where it stopped; another incarnation numbers its events anew. */
-function createCacheReader(engine: ModelEngine, owner: ServerWatchOwner): CacheReader {
+function createCacheReader(engine: ModelEngine, owner: ServerWatchListener): CacheReader {
   let after = 0;
   let known = '';
   return {
@@ -90,7 +90,7 @@
       const events = await engine.cacheEvents(after);
       if (events.isErr()) return;
       after = events.value.at(-1)?.sequence ?? after;
-      owner.cacheEvents(engine.id, events.value);
+      owner.cacheEventsReceived(engine.id, events.value);
     },
   };
 }
@@ -108,14 +108,14 @@
   parts: ServerWatchParts,
   reads: Reads,
 ): ServerWatch {
-  const { clock, everyMs, owner } = parts;
+  const { clock, intervalMs: everyMs, listener: owner } = parts;
   let timer: Timer | undefined;
   let isReading = false;
   let stopped = false;
 
   async function readState(): Promise<void> {
     const state = await reads.readState();
-    if (state.isErr()) owner.silent(server.id, state.error);
+    if (state.isErr()) owner.answerMissed(server.id, state.error);
     else if (!isReading && !stopped) void readRest();
   }
 
