--- a/src/limits/home.ts
+++ b/src/limits/home.ts
@@ -1,7 +1,7 @@
 /**
- * The home of the teams that fall to this node: their buckets, and who holds how many of their
- * places. What it knows is soft state; a new home begins with full buckets and learns the places
- * from the nodes' renewals.
+ * The home node's state of the limits of its teams: token buckets, and the places that each node
+ * holds. This is soft state: a new home node starts with full buckets and learns the places from
+ * renewals.
  */
 import type { Limits } from '../configuration/objects.js';
 import type { LimitAllowance, LimitDraw } from '../links/index.js';
@@ -9,26 +9,26 @@
 import { PLACES_TTL_MS, REQUEST_BURST_MS, TOKEN_BURST_MS } from './terms.js';
 import { createTokenBucket, type TokenBucket } from './token-bucket.js';
 
-/** What a home needs. */
+/** Dependencies of a home. */
 export interface LimitHomeParts {
   clock: Clock;
-  /** The limits of a team in force; `undefined` for an unknown team. */
+  /** The current limits of a team; `undefined` for an unknown team. */
   limitsOf(team: string): Limits | undefined;
 }
 
-/** The home of some teams. */
+/** Hands out the limits of teams whose home node is this node. */
 export interface LimitHome {
-  /** Hands out an allowance; one that is empty says when to come back. */
+  /** Returns an allowance; an empty one has a Retry-After. */
   draw(node: string, draw: LimitDraw): LimitAllowance;
 }
 
 interface HeldPlaces {
   places: number;
-  heardAt: number;
+  renewedAt: number;
 }
 
 interface TeamState {
-  /** The limits that the buckets were made for. */
+  /** The limits that the buckets were created for. */
   limits: Limits;
   requests: TokenBucket | undefined;
   tokens: TokenBucket | undefined;
@@ -38,12 +38,12 @@
 
 const MS_PER_SECOND = 1_000;
 const SECONDS_PER_MINUTE = 60;
-/** A team that was not heard of for this long is forgotten; its buckets are full by then. */
-const FORGOTTEN_AFTER_MS = 60_000;
+/** Teams without a draw for this time are evicted; their buckets are full by then. */
+const IDLE_EVICTION_MS = 60_000;
 const MAX_TEAMS = 1_000;
 
 /**
- * Creates the home of teams not heard of yet.
+ * Creates a home without teams.
  *
  * @param parts the configuration and the clock
  */
@@ -62,15 +62,15 @@
       places: known?.places ?? new Map<string, HeldPlaces>(),
       usedAt: now,
     };
-    forgetIdle(now);
+    evictIdle(now);
     teams.set(team, opened);
     return opened;
   }
 
-  function forgetIdle(now: number): void {
+  function evictIdle(now: number): void {
     if (teams.size < MAX_TEAMS) return;
     for (const [team, { usedAt }] of teams) {
-      if (now - usedAt > FORGOTTEN_AFTER_MS) teams.delete(team);
+      if (now - usedAt > IDLE_EVICTION_MS) teams.delete(team);
     }
   }
 
@@ -109,24 +109,24 @@
   );
 }
 
-/** A node never loses places that it uses, even when others hold too many. */
+/** A node always keeps the places in use, even if the sum over all nodes exceeds the limit. */
 function grantPlaces(state: TeamState, node: string, draw: LimitDraw, now: number): number {
   const { concurrency } = state.limits;
   if (concurrency === undefined) return draw.places;
   let others = 0;
-  for (const [holder, { places, heardAt }] of state.places) {
-    if (now - heardAt > PLACES_TTL_MS) state.places.delete(holder);
+  for (const [holder, { places, renewedAt }] of state.places) {
+    if (now - renewedAt > PLACES_TTL_MS) state.places.delete(holder);
     else if (holder !== node) others += places;
   }
   const places = Math.max(draw.inUse, Math.min(draw.places, concurrency - others));
-  if (places > 0) state.places.set(node, { places, heardAt: now });
+  if (places > 0) state.places.set(node, { places, renewedAt: now });
   else state.places.delete(node);
   return places;
 }
 
 type Rates = Pick<LimitAllowance, 'requests' | 'tokens' | 'retryAfterMs'>;
 
-/** Requests and tokens are given together or not at all, for one is of no use without the other. */
+/** Grants requests and tokens together or not at all, since a request needs both. */
 function grantRates(state: TeamState, draw: LimitDraw, now: number): Rates {
   const { requests, tokens } = state;
   const waitMs = Math.max(
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,4 +1,4 @@
-/** Limits of teams, held over all nodes by allowances that nodes draw from each team's home. */
+/** Limits of teams, enforced over all nodes by allowances drawn from the home node of each team. */
 export * from './team-limiter.js';
 export * from './home.js';
 export * from './limited-runners.js';
--- a/src/limits/limited-runners.ts
+++ b/src/limits/limited-runners.ts
@@ -1,5 +1,5 @@
 /**
- * Runners of requests that first see to the team's limits.
+ * Wrappers for request runners that enforce the limits of teams.
  */
 import { Err } from 'ts-results-es';
 import type { CompletionJob, CompletionRunner, CompletionStream } from '../router/completion.js';
@@ -7,21 +7,18 @@
 import type { TeamLimiter } from './team-limiter.js';
 
 /**
- * Puts limits before the running of generations.
+ * Enforces the limits of teams on completions.
  *
- * @param runner runs those that pass
- * @param allowances the node's allowances
+ * @param runner runs the admitted requests
+ * @param limiter the node's limiter
  */
-export function limitCompletions(
-  runner: CompletionRunner,
-  allowances: TeamLimiter,
-): CompletionRunner {
+export function limitCompletions(runner: CompletionRunner, limiter: TeamLimiter): CompletionRunner {
   async function* run(job: CompletionJob, signal: AbortSignal): CompletionStream {
     const { team, requestClass, promptTokens, maxTokens } = job;
     const expected = promptTokens + Math.min(maxTokens, requestClass.expectedOutputTokens);
-    const entered = await allowances.admit(team, expected);
-    if (entered.isErr()) {
-      yield Err(entered.error);
+    const admitted = await limiter.admit(team, expected);
+    if (admitted.isErr()) {
+      yield Err(admitted.error);
       return;
     }
     let tokens = 0;
@@ -31,7 +28,7 @@
         yield item;
       }
     } finally {
-      entered.value.end(tokens);
+      admitted.value.end(tokens);
     }
   }
 
@@ -39,23 +36,23 @@
 }
 
 /**
- * Puts limits before the running of calls to plain services, which count as no tokens.
+ * Enforces the limits of teams on calls to plain services, which use no tokens.
  *
- * @param runner runs those that pass
- * @param allowances the node's allowances
+ * @param runner runs the admitted calls
+ * @param limiter the node's limiter
  */
 export function limitServiceCalls(
   runner: ServiceCallRunner,
-  allowances: TeamLimiter,
+  limiter: TeamLimiter,
 ): ServiceCallRunner {
   return {
     async run(job, signal, beforeSend) {
-      const entered = await allowances.admit(job.team, 0);
-      if (entered.isErr()) return entered;
+      const admitted = await limiter.admit(job.team, 0);
+      if (admitted.isErr()) return admitted;
       try {
         return await runner.run(job, signal, beforeSend);
       } finally {
-        entered.value.end(0);
+        admitted.value.end(0);
       }
     },
   };
--- a/src/limits/send-budget.ts
+++ b/src/limits/send-budget.ts
@@ -1,33 +1,32 @@
 /**
- * A budget for sends beyond the first of each request, kept by each gateway for each service so
- * that all gateways together stay within what the fleet allows. A gateway spends a ratio of the
- * requests that it sees itself, which needs no agreement, and its part of a fixed allowance.
+ * A budget for sends beyond the first of each request, by gateway and service. A gateway may spend a
+ * ratio of its own requests and its part of an allowance that all gateways share, so the fleet stays
+ * within its bound without coordination.
  */
 import type { Clock } from '../task/index.js';
 
-/** What the fleet allows. */
+/** Bounds for all gateways. */
 export interface SendBudgetTerms {
-  /** Sends beyond the first for each request. */
+  /** Sends beyond the first, per request. */
   ratio: number;
-  /** Further sends in a window, for all gateways together. */
+  /** Additional sends per window, for all gateways together. */
   allowance: number;
   /** Length of a window, in milliseconds. */
   windowMs: number;
 }
 
-/** Part of what is allowed that is used; the rest covers gateways whose windows differ. */
+/** Share of the bound that is used; the rest covers gateways whose windows differ. */
 const USED_SHARE = 0.8;
-/** Gateways that are reckoned with at least, since a gateway that has just started, or is cut off,
- * does not know the others. */
-const LEAST_GATEWAYS = 8;
+/** Minimum number of gateways assumed: a new or partitioned gateway does not know the others. */
+const MIN_GATEWAYS = 8;
 
 /** The budget of one gateway. */
 export interface SendBudget {
-  /** A request for a service came. */
+  /** Records a request for a service. */
   earn(service: string): void;
   /** Whether a send beyond the first is left in this window. */
   hasLeft(service: string): boolean;
-  /** Takes one send beyond the first; false when none is left in this window. */
+  /** Takes one send beyond the first; false if none is left in this window. */
   spend(service: string): boolean;
 }
 
@@ -41,8 +40,8 @@
  * Creates a budget.
  *
  * @param clock the gateway's clock
- * @param terms what the fleet allows now
- * @param gateways how many gateways are known, this one included
+ * @param terms the current bounds
+ * @param gateways number of known gateways, this one included
  */
 export function createSendBudget(
   clock: Clock,
@@ -63,7 +62,7 @@
   function hasLeft(service: string): boolean {
     const { earned, spent } = windowOf(service);
     const { allowance, ratio } = terms();
-    const part = allowance / Math.max(LEAST_GATEWAYS, gateways());
+    const part = allowance / Math.max(MIN_GATEWAYS, gateways());
     return spent.length + 1 <= USED_SHARE * (ratio * earned.length + part);
   }
 
@@ -81,7 +80,7 @@
 }
 
 function dropBefore(times: number[], before: number): void {
-  let old = 0;
-  while (old < times.length && (times[old] ?? 0) < before) old += 1;
-  if (old > 0) times.splice(0, old);
+  let expired = 0;
+  while (expired < times.length && (times[expired] ?? 0) < before) expired += 1;
+  if (expired > 0) times.splice(0, expired);
 }
--- a/src/limits/team-limiter.ts
+++ b/src/limits/team-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * A node's side of the limits of teams: it spends what it drew from each team's home, and draws
- * again in batches that follow what it spends.
+ * Admits requests of teams within their limits. A node spends allowances that it draws from the
+ * home node of each team, in batches sized by its recent use.
  */
 import { Err, Ok, type Result } from 'ts-results-es';
 import type { Team } from '../configuration/objects.js';
@@ -10,25 +10,25 @@
 import { createLimitHome, type LimitHome } from './home.js';
 import { ALLOWANCE_TTL_MS, BATCH_MS, RENEWAL_INTERVAL_MS } from './terms.js';
 
-/** What a request is charged with until it ends. */
+/** The charge of an admitted request. */
 export interface LimitTicket {
-  /** @param tokens the prompt and output tokens that it really had */
+  /** @param tokens actual prompt and output tokens of the request */
   end(tokens: number): void;
 }
 
-/** What a node's allowances need. */
+/** Dependencies of a limiter. */
 export interface TeamLimiterParts {
   node: string;
   clock: Clock;
-  /** Asks a team's home, this node's own included; `undefined` when it cannot be reached. */
+  /** Draws from the home node of a team, which may be this node; `undefined` if it is unreachable. */
   draw(draw: LimitDraw): Promise<LimitAllowance | undefined>;
-  /** How many nodes are alive, this one included. */
+  /** Number of live nodes, this one included. */
   aliveCount(): number;
 }
 
-/** A node's allowances. */
+/** Enforces the limits of teams on one node. */
 export interface TeamLimiter {
-  /** Lets a request of a team pass, or refuses it with the time to come back. */
+  /** Admits a request of a team, or refuses it with a Retry-After. */
   admit(team: Team, expectedTokens: number): Promise<Result<LimitTicket, Failure>>;
   stop(): void;
 }
@@ -37,37 +37,39 @@
   team: Team;
   requests: number;
   tokens: number;
-  /** Places that the home lets this node use. */
+  /** Concurrent requests that the home node allows on this node. */
   places: number;
   inUse: number;
-  /** After this nothing of the allowance may be spent. */
-  spendBy: number;
+  /** When the unspent allowance expires. */
+  expiresAt: number;
   /** Spent since the last draw. */
   spentRequests: number;
   spentTokens: number;
   drawnAt: number;
-  /** How long requests take, in milliseconds. */
-  holdMs: number;
+  /** Mean duration of requests, in milliseconds. */
+  meanDurationMs: number;
   drawing: Promise<LimitAllowance> | undefined;
-  /** Until then the home is not asked again for as many tokens or more. */
+  /** Until then, requests for `blockedTokens` or more are refused without a draw. */
   blockedUntil: number;
   blockedTokens: number;
-  /** This node's own share, used while the home cannot be reached. */
+  /** This node's share of the limits, used while the home node is unreachable. */
   share: LimitHome | undefined;
 }
 
-/** Draws that one request waits for before it is refused. */
+/** Maximum number of draws that one request waits for. */
 const MAX_DRAWS = 3;
+/** Weight of the newest request in the mean duration. */
 const NEWEST_WEIGHT = 0.1;
-const FIRST_HOLD_MS = 1_000;
-const LEAST_RETRY_AFTER_MS = 50;
-/** Longest time for which a home's refusal stands without asking again. */
-const BLOCKED_MS = 100;
+/** Mean duration before the first request ends. */
+const DEFAULT_DURATION_MS = 1_000;
+const MIN_RETRY_AFTER_MS = 50;
+/** Maximum time for which a refusal of the home node is reused without another draw. */
+const MAX_BLOCKED_MS = 100;
 
 /**
- * Creates a node's allowances, all empty.
+ * Creates a limiter without allowances.
  *
- * @param parts how to reach homes
+ * @param parts its dependencies
  */
 export function createTeamLimiter(parts: TeamLimiterParts): TeamLimiter {
   const { clock, node } = parts;
@@ -86,11 +88,11 @@
       tokens: 0,
       places: 0,
       inUse: 0,
-      spendBy: 0,
+      expiresAt: 0,
       spentRequests: 0,
       spentTokens: 0,
       drawnAt: clock.now(),
-      holdMs: FIRST_HOLD_MS,
+      meanDurationMs: DEFAULT_DURATION_MS,
       drawing: undefined,
       blockedUntil: 0,
       blockedTokens: 0,
@@ -101,12 +103,12 @@
     return opened;
   }
 
-  async function enter(team: Team, expected: number): Promise<Result<LimitTicket, Failure>> {
+  async function admit(team: Team, expected: number): Promise<Result<LimitTicket, Failure>> {
     if (!hasLimits(team)) return Ok({ end: () => undefined });
     const allowance = open(team);
     for (let draws = 0; ; draws += 1) {
       if (spend(allowance, expected)) return Ok(createTicket(allowance, expected));
-      if (draws >= MAX_DRAWS) return Err(refuse(allowance, LEAST_RETRY_AFTER_MS));
+      if (draws >= MAX_DRAWS) return Err(refuse(allowance, MIN_RETRY_AFTER_MS));
       const blockedMs = allowance.blockedUntil - clock.now();
       if (blockedMs > 0 && expected >= allowance.blockedTokens) {
         return Err(refuse(allowance, blockedMs));
@@ -114,15 +116,17 @@
       const isFirst = allowance.drawing === undefined;
       allowance.drawing ??= draw(allowance, expected);
       const drawn = await allowance.drawing;
-      // A draw that another request began may have been too small for this one.
+      // A draw started by another request may have been too small for this one.
       const isFinal = isFirst && (drawn.retryAfterMs > 0 || lacksPlace(allowance));
       if (isFinal) return Err(block(allowance, expected, drawn.retryAfterMs));
     }
   }
 
-  /** Refuses, and the next ones too for a moment, so that a refused request costs no message. */
+  /** Refuses a request and, without further draws, those that follow within a short time. */
   function block(allowance: TeamAllowance, expected: number, retryAfterMs: number): Failure {
-    const blockedMs = lacksPlace(allowance) ? BLOCKED_MS : Math.min(BLOCKED_MS, retryAfterMs);
+    const blockedMs = lacksPlace(allowance)
+      ? MAX_BLOCKED_MS
+      : Math.min(MAX_BLOCKED_MS, retryAfterMs);
     allowance.blockedUntil = clock.now() + blockedMs;
     allowance.blockedTokens = lacksPlace(allowance) ? 0 : expected;
     return refuse(allowance, retryAfterMs);
@@ -131,9 +135,10 @@
   function spend(allowance: TeamAllowance, expected: number): boolean {
     const { limits } = allowance.team;
     if (lacksPlace(allowance)) return false;
-    const isFresh = clock.now() <= allowance.spendBy;
-    const isRated = limits.requestsPerSecond !== undefined || limits.tokensPerMinute !== undefined;
-    if (isRated && !isFresh) return false;
+    const isValid = clock.now() <= allowance.expiresAt;
+    const hasRateLimits =
+      limits.requestsPerSecond !== undefined || limits.tokensPerMinute !== undefined;
+    if (hasRateLimits && !isValid) return false;
     if (limits.requestsPerSecond !== undefined && allowance.requests < 1) return false;
     if (limits.tokensPerMinute !== undefined && allowance.tokens < expected) return false;
     allowance.requests -= 1;
@@ -153,8 +158,8 @@
         isOpen = false;
         allowance.inUse -= 1;
         allowance.tokens -= tokens - expected;
-        const heldMs = clock.now() - startedAt;
-        allowance.holdMs += (heldMs - allowance.holdMs) * NEWEST_WEIGHT;
+        const durationMs = clock.now() - startedAt;
+        allowance.meanDurationMs += (durationMs - allowance.meanDurationMs) * NEWEST_WEIGHT;
       },
     };
   }
@@ -163,15 +168,15 @@
     const wanted = createDraw(allowance, expected);
     const drawn = (await parts.draw(wanted)) ?? drawShare(allowance, wanted);
     const now = clock.now();
-    if (now > allowance.spendBy) {
+    if (now > allowance.expiresAt) {
       allowance.requests = 0;
-      // What was used beyond the estimate stays owed.
+      // The allowance has expired, but debt from underestimated requests remains.
       allowance.tokens = Math.min(0, allowance.tokens);
     }
     allowance.requests += drawn.requests;
     allowance.tokens += drawn.tokens;
     allowance.places = Math.max(drawn.places, allowance.inUse);
-    if (drawn.retryAfterMs === 0) allowance.spendBy = now + ALLOWANCE_TTL_MS;
+    if (drawn.retryAfterMs === 0) allowance.expiresAt = now + ALLOWANCE_TTL_MS;
     allowance.spentRequests = 0;
     allowance.spentTokens = 0;
     allowance.drawnAt = now;
@@ -179,7 +184,7 @@
     return drawn;
   }
 
-  /** What is needed at least, and as much as was spent in the time of a batch. */
+  /** Draws the minimum for the request, plus what was spent per batch time since the last draw. */
   function createDraw(allowance: TeamAllowance, expected: number): LimitDraw {
     const sinceMs = Math.max(1, clock.now() - allowance.drawnAt);
     const batches = Math.min(1, BATCH_MS / sinceMs);
@@ -207,17 +212,17 @@
   }
 
   function refuse(allowance: TeamAllowance, retryAfterMs: number): Failure {
-    const { team, holdMs } = allowance;
+    const { team, meanDurationMs } = allowance;
     const isFull = lacksPlace(allowance);
-    const placeMs = holdMs / (team.limits.concurrency ?? 1);
+    const msUntilPlace = meanDurationMs / (team.limits.concurrency ?? 1);
     return createRefusal({
       code: isFull ? 'concurrency-limited' : 'rate-limited',
       message: isFull
-        ? `team "${team.name}" has as many requests in flight as it may`
-        : `team "${team.name}" is over its rate of requests or tokens`,
+        ? `team "${team.name}" has reached its limit of concurrent requests`
+        : `team "${team.name}" has exceeded its limit of requests or tokens per time`,
       step: 'request.admit',
       peer: node,
-      retryAfterMs: Math.max(LEAST_RETRY_AFTER_MS, isFull ? placeMs : retryAfterMs),
+      retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, isFull ? msUntilPlace : retryAfterMs),
     });
   }
 
@@ -229,7 +234,7 @@
     });
   }
 
-  /** Tells the home which places are still used; gives the others back. */
+  /** Renews the places in use at the home node and returns the unused ones. */
   function renew(allowance: TeamAllowance): void {
     const { team, inUse } = allowance;
     if (team.limits.concurrency !== undefined && allowance.drawing === undefined) {
@@ -238,12 +243,12 @@
       const places = { places: inUse, inUse };
       void parts.draw({ kind: 'limits.draw', team: team.name, ...nothing, ...places });
     }
-    const isIdle = inUse === 0 && allowance.tokens >= 0 && clock.now() > allowance.spendBy;
+    const isIdle = inUse === 0 && allowance.tokens >= 0 && clock.now() > allowance.expiresAt;
     if (isIdle && allowance.drawing === undefined) allowances.delete(team.name);
   }
 
   return {
-    admit: enter,
+    admit,
     stop() {
       renewal?.cancel();
     },
--- a/src/limits/token-bucket.ts
+++ b/src/limits/token-bucket.ts
@@ -1,17 +1,16 @@
 /**
- * A token bucket: fills at a steady rate up to its size, and may be overdrawn by a single request
- * that is larger than the bucket.
+ * A token bucket that may be overdrawn by a single request larger than the bucket.
  */
 
 /** A bucket. Times are milliseconds on one clock. */
 export interface TokenBucket {
-  /** Takes up to `most`, but nothing when there is less than `least`. @returns what was taken */
+  /** Takes up to `most`, or nothing if less than `least` is available. @returns the amount taken */
   take(least: number, most: number, now: number): number;
-  /** Takes `amount` whether it is there or not; what is missing is a debt. */
+  /** Takes `amount` even if the level becomes negative. */
   draw(amount: number, now: number): void;
   /** Time until `amount` can be taken. */
   waitMs(amount: number, now: number): number;
-  /** What can be taken now; negative for a debt. */
+  /** Amount available; negative if overdrawn. */
   level(now: number): number;
 }
 
@@ -26,9 +25,9 @@
 /**
  * Creates a bucket.
  *
- * @param terms its size and rate
- * @param now the time on the clock that is used with it
- * @param startLevel what is in it; it is full where absent
+ * @param terms size and rate
+ * @param now the current time
+ * @param startLevel initial level; full if omitted
  */
 export function createTokenBucket(
   terms: BucketTerms,
@@ -48,7 +47,7 @@
   return {
     take(least, most, at) {
       fill(at);
-      // What is larger than the bucket has to wait for a full one, and leaves a debt.
+      // An amount larger than the bucket waits for a full bucket and overdraws it.
       if (level < Math.min(least, size)) return 0;
       const taken = Math.max(least, Math.min(most, Math.floor(level)));
       level -= taken;
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -82,7 +82,7 @@
     clock,
     limitsOf: (team) => replica.current().teams.get(team)?.limits,
   });
-  const allowances = createTeamLimiter({
+  const teamLimiter = createTeamLimiter({
     node,
     clock,
     draw: drawLimits,
@@ -95,9 +95,9 @@
   const routing = { node, clock, log, metrics, placement, backends, budget, retries };
   const estimate = createOutputEstimate();
   const runner = createCompletionRunner({ ...routing, estimate });
-  const completions = limitCompletions(runner, allowances);
+  const completions = limitCompletions(runner, teamLimiter);
   const callRunner = createServiceCallRunner(routing);
-  const services = limitServiceCalls(callRunner, allowances);
+  const services = limitServiceCalls(callRunner, teamLimiter);
 
   const claims = createClaims({
     table: platform.table('claims'),
@@ -175,7 +175,7 @@
       await claims.stop(CLAIMS_GRACE_MS);
     },
     close() {
-      allowances.stop();
+      teamLimiter.stop();
     },
   };
 }
--- a/test/limits/send-budget.test.ts
+++ b/test/limits/send-budget.test.ts
@@ -14,7 +14,7 @@
     return spent;
   }
 
-  it('keeps all gateways together within the allowance when nothing is asked', () => {
+  it('keeps all gateways together within the allowance without requests', () => {
     const { clock } = createFakeClock();
     let total = 0;
     for (let gateway = 0; gateway < 9; gateway += 1) {
@@ -24,7 +24,7 @@
     expect(total).to.be.within(1, allowance);
   });
 
-  it('grows with the requests that came, and is full again after a window', async () => {
+  it('grows with the number of requests and recovers after a window', async () => {
     const { clock, advance } = createFakeClock();
     const budget = createSendBudget(clock, terms, () => 9);
     for (let request = 0; request < 100; request += 1) {
--- a/test/limits/allowances.test.ts
+++ b/test/limits/team-limiter.test.ts
@@ -18,7 +18,7 @@
   return teamSchema.parse({ kind: 'team', name: 'kumasi', limits });
 }
 
-/** Some nodes and the home of one team; `home` is replaced to lose it. */
+/** Creates nodes and the home of one team; tests replace `control.home` to simulate its loss. */
 function createNodes(team: Team, count: number) {
   const { clock, advance, runUntil } = createFakeClock();
   const openHome = () => createLimitHome({ clock, limitsOf: () => team.limits });
@@ -38,7 +38,7 @@
 }
 
 describe('limits of teams over all nodes', () => {
-  it('hold requests a second within the stated bound, over nodes and over any window', async () => {
+  it('keep requests per second within the documented bound over all nodes in any window', async () => {
     const input = fc.record({
       seed: fc.integer(),
       rate: fc.integer({ min: 5, max: 100 }),
@@ -54,8 +54,8 @@
         let refused = 0;
         const gapMs = 1_000 / (rate * offered);
         while (clock.now() < 3_000) {
-          const entered = await nodes[Math.floor(random.next() * count)]?.admit(team, 0);
-          if (entered?.isOk() === true) passed.push(clock.now());
+          const admitted = await nodes[Math.floor(random.next() * count)]?.admit(team, 0);
+          if (admitted?.isOk() === true) passed.push(clock.now());
           else refused += 1;
           await advance(gapMs);
         }
@@ -74,21 +74,21 @@
     );
   });
 
-  it('refuse with the time to come back, without asking the home for each', async () => {
+  it('refuse with a Retry-After, without a draw for each request', async () => {
     const team = createTeam({ requestsPerSecond: 2 });
     const { nodes, control } = createNodes(team, 1);
     const codes: (string | undefined)[] = [];
     for (let index = 0; index < 50; index += 1) {
-      const entered = await nodes[0]?.admit(team, 0);
-      codes.push(entered?.isErr() === true ? entered.error.code : undefined);
-      if (entered?.isErr() === true) expect(entered.error.retryAfterMs).to.be.within(50, 500);
+      const admitted = await nodes[0]?.admit(team, 0);
+      codes.push(admitted?.isErr() === true ? admitted.error.code : undefined);
+      if (admitted?.isErr() === true) expect(admitted.error.retryAfterMs).to.be.within(50, 500);
     }
     expect(codes.filter((code) => code === undefined).length).to.equal(2);
     expect(codes.at(-1)).to.equal('rate-limited');
     expect(control.draws).to.be.at.most(4);
   });
 
-  it('never let more run at once than allowed, and use what ended', async () => {
+  it('keep concurrent requests within the limit and reuse the places of finished ones', async () => {
     const steps = fc.array(fc.record({ node: fc.nat(2), enters: fc.boolean(), ms: fc.nat(700) }), {
       minLength: 20,
       maxLength: 120,
@@ -100,9 +100,10 @@
         const running: LimitTicket[] = [];
         for (const { node, enters, ms } of taken) {
           if (!enters) running.shift()?.end(0);
-          const entered = enters ? await nodes[node]?.admit(team, 0) : undefined;
-          if (entered?.isOk() === true) running.push(entered.value);
-          if (entered?.isErr() === true) expect(entered.error.code).to.equal('concurrency-limited');
+          const admitted = enters ? await nodes[node]?.admit(team, 0) : undefined;
+          if (admitted?.isOk() === true) running.push(admitted.value);
+          if (admitted?.isErr() === true)
+            expect(admitted.error.code).to.equal('concurrency-limited');
           expect(running.length).to.be.at.most(5);
           await advance(ms);
         }
@@ -114,7 +115,7 @@
     );
   });
 
-  it('charge tokens as expected and then as they were', async () => {
+  it('charge estimated tokens and correct the charge when the request ends', async () => {
     const team = createTeam({ tokensPerMinute: 6_000 });
     const { advance, nodes } = createNodes(team, 1);
     const first = await nodes[0]?.admit(team, 100);
@@ -127,7 +128,7 @@
     expect((await nodes[0]?.admit(team, 100))?.isOk()).to.equal(true);
   });
 
-  it('go on with a new home within one more burst', async () => {
+  it('allow at most one more burst after a change of the home node', async () => {
     const team = createTeam({ requestsPerSecond: 10 });
     const { clock, advance, nodes, control, openHome } = createNodes(team, 3);
     let passed = 0;
@@ -139,7 +140,7 @@
     expect(passed).to.be.within(40, 10 * 4 + 2 * 10 + 3);
   });
 
-  it('hold each node to its share while the home cannot be reached', async () => {
+  it('limit each node to its share while the home node is unreachable', async () => {
     const team = createTeam({ requestsPerSecond: 30 });
     const { clock, advance, nodes, control } = createNodes(team, 3);
     control.home = undefined;
@@ -151,7 +152,7 @@
     expect(passed).to.be.within(54, 30 * 2 + 30 + 3);
   });
 
-  it('cost nothing for a team without any', async () => {
+  it('need no draws for a team without limits', async () => {
     const team = createTeam({});
     const { nodes, control } = createNodes(team, 1);
     expect((await nodes[0]?.admit(team, 1e9))?.isOk()).to.equal(true);
