--- a/src/shards/index.ts
+++ b/src/shards/index.ts
@@ -1,4 +1,4 @@
-/** Shards of backend servers and who holds them. */
+/** Shards of backend servers and their holders. */
 export * from './ownership.js';
 export * from './partition.js';
 export * from './rows.js';
--- a/src/shards/ownership.ts
+++ b/src/shards/ownership.ts
@@ -1,6 +1,6 @@
 /**
- * The task that takes shards for this node and gives them back. A shard is taken only when it was
- * released or when its former holder's lease is certainly over, by a conditional write on its row.
+ * Takes and releases shards for this node. A shard is taken by a conditional write on its row, and
+ * only if it was released or the lease of its previous holder is known to be over.
  */
 import type { Log } from '../events/index.js';
 import type { LeaseHolder, NodeRow } from '../lease/index.js';
@@ -10,44 +10,44 @@
 import { rankNodes, selectNearNodes, type ZonedNode, type Shard } from './partition.js';
 import { parseShardRow, shardRowKey, type ShardRow } from './rows.js';
 
-/** Nodes that may try to take one shard. */
+/** Number of nodes that may try to take a shard. */
 const CANDIDATES = 3;
-/** Time between two tries as a share of how long the shard has been without a known holder. */
-const PAUSE_SHARE = 1 / 8;
-const MAX_PAUSE_MS = 5_000;
+/** Time between two attempts, as a share of the time since the shard lost its known holder. */
+const BACKOFF_SHARE = 1 / 8;
+const MAX_BACKOFF_MS = 5_000;
 
 /** A shard that this node holds. */
 export interface HeldShard {
   name: string;
   fence: number;
-  /** Revision of the shard's row while it is ours; a condition of everything done under it. */
+  /** Revision of the shard's row while this node holds it; a condition of writes by the holder. */
   revision: number;
   holder: LeaseHolder;
 }
 
-/** What ownership needs. */
+/** Dependencies of the ownership task. */
 export interface OwnershipParts {
   table: TableService;
   clock: Clock;
   log: Log;
   node: string;
-  /** Time between two looks at the shards. */
+  /** Time between two rounds. */
   intervalMs: number;
-  /** A holder's summary counts as fresh for this long. */
+  /** Time for which a holder's summary shows that it is alive. */
   summaryTtlMs: number;
   shards(): Shard[];
-  /** Names of the nodes that take new work; the same array until it changes. */
+  /** Names of the nodes that take new work; must be the same array until the set changes. */
   aliveNodes(): readonly string[];
   /** The same nodes with their availability zones. */
   zonedNodes(): readonly ZonedNode[];
   leaseHolder(): LeaseHolder | undefined;
   isLeaseValid(): boolean;
   readNodeRow(node: string): Promise<NodeRow | undefined>;
-  taken(shard: HeldShard, former: ShardRow | undefined): void;
+  taken(shard: HeldShard, previous: ShardRow | undefined): void;
   lost(shard: HeldShard): void;
 }
 
-/** What is known of a shard's holder. */
+/** The holder of a shard, from its latest summary. */
 export interface KnownHolder {
   node: string;
   fence: number;
@@ -58,23 +58,23 @@
 /** The ownership task. */
 export interface Ownership {
   start(): void;
-  /** Gives every shard back; nothing may be under way in them any more. */
+  /** Releases all shards; they must have no work in progress. */
   release(): Promise<void>;
-  /** Every shard is lost, because the lease is. */
+  /** Drops all shards after the loss of the lease. */
   loseAll(): void;
   shardSummaryReceived(summary: ShardSummary): void;
   held(): HeldShard[];
   find(shard: string): HeldShard | undefined;
-  /** Who holds a shard, as far as this node knows. */
+  /** The holder of a shard, as known to this node. */
   holderOf(shard: string): KnownHolder | undefined;
-  /** Nodes whose lease stands between this node and a shard. */
+  /** Nodes that seem to have failed, but whose lease keeps this node from taking their shards. */
   suspectedHolders(): string[];
 }
 
 /**
  * Creates the ownership task of a node.
  *
- * @param parts the table, membership and lease, and who hears of gain and loss
+ * @param parts its dependencies
  */
 export function createOwnership(parts: OwnershipParts): Ownership {
   const { table, clock, log, node } = parts;
@@ -82,21 +82,21 @@
   const holders = new Map<string, KnownHolder>();
   const orphanedSince = new Map<string, number>();
   const suspected = new Map<string, string>();
-  const triedAt = new Map<string, number>();
-  /** This node's rank for each shard among the nodes last seen alive. */
+  const lastTriedAt = new Map<string, number>();
+  /** This node's rank for each shard among the nodes in `ranked`. */
   const ranks = new Map<string, number>();
   let ranked: readonly string[] = [];
   let timer: Timer | undefined;
   let stopped = false;
   let running: Promise<void> | undefined;
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     const alive = parts.aliveNodes();
     await releaseUnlisted();
     for (const shard of parts.shards()) {
       if (stopped || !parts.isLeaseValid()) return;
       if (!isOrphan(shard.name, alive)) continue;
-      if (!isOwnTurn(shard, alive)) continue;
+      if (!mayTryNow(shard, alive)) continue;
       await tryTake(shard.name);
     }
   }
@@ -110,7 +110,7 @@
         clock.now() - known.receivedAt <= parts.summaryTtlMs);
     if (hasHolder) {
       orphanedSince.delete(shard);
-      triedAt.delete(shard);
+      lastTriedAt.delete(shard);
       suspected.delete(shard);
       return false;
     }
@@ -118,18 +118,18 @@
     return true;
   }
 
-  /** The first in rank tries at once, the next ones a little later each. */
-  function isOwnTurn(shard: Shard, alive: readonly string[]): boolean {
+  /** Staggers the attempts by rank and backs off between those of this node. */
+  function mayTryNow(shard: Shard, alive: readonly string[]): boolean {
     const { name } = shard;
     const rank = resolveRank(shard, alive);
     if (rank < 0 || rank >= CANDIDATES) return false;
     const now = clock.now();
     const orphanedFor = now - (orphanedSince.get(name) ?? now);
     if (orphanedFor < rank * parts.summaryTtlMs) return false;
-    return now - (triedAt.get(name) ?? -Infinity) >= resolvePause(orphanedFor);
+    return now - (lastTriedAt.get(name) ?? -Infinity) >= resolveBackoff(orphanedFor);
   }
 
-  /** Ranking hashes every node's name, so it is done once for each set of nodes alive. */
+  /** Caches ranks for each set of live nodes, since ranking hashes the names of all nodes. */
   function resolveRank(shard: Shard, alive: readonly string[]): number {
     if (ranked !== alive) {
       ranked = alive;
@@ -143,58 +143,59 @@
     return rank;
   }
 
-  /** Tries grow rarer, so that an hour apart from the holder does not wear out the table. */
-  function resolvePause(orphanedFor: number): number {
-    return Math.min(MAX_PAUSE_MS, orphanedFor * PAUSE_SHARE);
+  /** Backoff in proportion to the time without a known holder, to limit reads of the table. */
+  function resolveBackoff(orphanedFor: number): number {
+    return Math.min(MAX_BACKOFF_MS, orphanedFor * BACKOFF_SHARE);
   }
 
   async function tryTake(shard: string): Promise<void> {
-    triedAt.set(shard, clock.now());
+    lastTriedAt.set(shard, clock.now());
     const read = await table.get(shardRowKey(shard));
     if (read.isErr()) return;
     const row = read.value;
-    const former = row === undefined ? undefined : parseShardRow(row.value);
-    if (former !== undefined && !(await isFree(shard, former))) return;
-    await take(shard, row, former);
+    const previous = row === undefined ? undefined : parseShardRow(row.value);
+    if (previous !== undefined && !(await isFree(shard, previous))) return;
+    await take(shard, row, previous);
   }
 
-  async function isFree(shard: string, former: ShardRow): Promise<boolean> {
-    if (former.released) return true;
+  async function isFree(shard: string, previous: ShardRow): Promise<boolean> {
+    if (previous.released) return true;
     const own = parts.leaseHolder();
-    if (former.holder.leaseId === own?.leaseId) return true;
-    const nodeRow = await parts.readNodeRow(former.holder.node);
+    if (previous.holder.leaseId === own?.leaseId) return true;
+    const nodeRow = await parts.readNodeRow(previous.holder.node);
     if (nodeRow === undefined) {
-      suspected.set(shard, former.holder.node);
+      suspected.set(shard, previous.holder.node);
       return false;
     }
-    const isOver = nodeRow.state !== 'held' || nodeRow.holder.leaseId !== former.holder.leaseId;
+    const isOver = nodeRow.state !== 'held' || nodeRow.holder.leaseId !== previous.holder.leaseId;
     if (isOver) suspected.delete(shard);
-    else suspected.set(shard, former.holder.node);
+    else suspected.set(shard, previous.holder.node);
     return isOver;
   }
 
   async function take(
     shard: string,
     row: Row | undefined,
-    former: ShardRow | undefined,
+    previous: ShardRow | undefined,
   ): Promise<void> {
     const holder = parts.leaseHolder();
     if (holder === undefined || !parts.isLeaseValid()) return;
     const key = shardRowKey(shard);
-    const value: ShardRow = { holder, fence: (former?.fence ?? 0) + 1, released: false };
+    const value: ShardRow = { holder, fence: (previous?.fence ?? 0) + 1, released: false };
     const outcome = await table.transact({
       conditions: [{ key, revision: row?.revision ?? 0 }],
       puts: [{ key, value }],
       deletes: [],
     });
-    // After a lost answer the next round finds the row: our own lease id in it says it landed.
+    // If the outcome is unknown, the next runRound reads the row: this node's lease id in it shows that
+    // the write was committed.
     if (outcome.kind !== 'committed') return;
     if (parts.leaseHolder()?.leaseId !== holder.leaseId) return;
     const taken = { name: shard, fence: value.fence, revision: outcome.revision, holder };
     held.set(shard, taken);
     orphanedSince.delete(shard);
-    log.write('shardTaken', { shard, fence: taken.fence, former: former?.holder.node });
-    parts.taken(taken, former);
+    log.write('shardTaken', { shard, fence: taken.fence, former: previous?.holder.node });
+    parts.taken(taken, previous);
   }
 
   function drop(shard: HeldShard): void {
@@ -218,8 +219,8 @@
   }
 
   /**
-   * A fleet that grew or shrank is parted anew; its servers then belong to other shards, and two
-   * holders would grant places on them. An empty list says nothing.
+   * Releases shards that no longer exist after the fleet was repartitioned: their servers belong to
+   * other shards, and two holders must not grant permits on them. An empty list is ignored.
    */
   async function releaseUnlisted(): Promise<void> {
     const listed = new Set<string>();
@@ -234,7 +235,7 @@
   }
 
   function step(): void {
-    running = round();
+    running = runRound();
     void running.then(() => {
       if (!stopped) timer = clock.after(parts.intervalMs, step);
     });
--- a/src/shards/partition.ts
+++ b/src/shards/partition.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers belong together. A shard holds up to some number of servers of one fleet
- * and has one holder, which alone orders its engines and grants permits for them.
+ * Partitions backend servers into shards of bounded size. Each shard has one holder, the only node
+ * that gives orders to its engines and grants permits for them.
  */
 import { hashName } from '../gossip/index.js';
 import type { Vm } from '../ports/index.js';
@@ -13,17 +13,17 @@
   vms: Vm[];
 }
 
-/** What the partition depends on; the same on every node. */
+/** Settings of the partition; must be equal on all nodes. */
 export interface PartitionTerms {
   maxServers: number;
 }
 
 /**
- * Sorts backend servers into shards. A fleet within the limit is one shard, so that its queue is
- * one; a larger one is split by availability zone first and then evenly by a hash of the id.
+ * Partitions backend servers into shards. A fleet within the limit is one shard with a single queue;
+ * a larger one is split by availability zone and then by a hash of the server id.
  *
  * @param vms the platform's list, entry VMs included
- * @param terms the limit on a shard's size
+ * @param terms the maximum size of a shard
  */
 export function resolveShards(vms: readonly Vm[], terms: PartitionTerms): Shard[] {
   const shards: Shard[] = [];
@@ -53,7 +53,7 @@
   return shards;
 }
 
-/** A power of two with room to spare, so that a fleet of about the same size stays as it is. */
+/** Rounds up to a power of two, so that small changes of a fleet's size do not repartition it. */
 function bucketCount(servers: number, maxServers: number): number {
   let buckets = 1;
   while (buckets * maxServers < servers) buckets *= 2;
@@ -78,8 +78,8 @@
 }
 
 /**
- * Orders nodes by how much they want a shard (rendezvous hashing): the same order on every node,
- * and the loss of one node moves only what that node had.
+ * Ranks nodes for a shard by rendezvous hashing: the order is the same on every node, and the loss
+ * of a node affects only the shards for which it was first.
  *
  * @param shard name of the shard
  * @param nodes names of the nodes that may hold it
@@ -93,24 +93,24 @@
   return scored.map(({ node }) => node);
 }
 
-/** A node, as far as its nearness to servers goes. */
+/** A node and its availability zone. */
 export interface ZonedNode {
   node: string;
   zone: string;
 }
 
 /**
- * Names of the nodes that are to hold a shard: those of its availability zone, so that permits and
- * watches stay within it, or all when the shard spans zones or too few nodes are in its zone.
+ * Selects the nodes that may hold a shard: those of its availability zone, to avoid traffic between
+ * zones, or all nodes if the shard spans zones or too few nodes are in its zone.
  *
  * @param shard the shard
  * @param nodes the nodes that may hold shards
- * @param least how many must be near for the others to be left out
+ * @param minNear minimum number of nodes in the zone
  */
 export function selectNearNodes(
   shard: Shard,
   nodes: readonly ZonedNode[],
-  least: number,
+  minNear: number,
 ): string[] {
   const zones = new Set<string>();
   for (const { zone } of shard.vms) {
@@ -122,5 +122,5 @@
     all.push(node);
     if (zones.has(zone)) near.push(node);
   }
-  return zones.size === 1 && near.length >= least ? near : all;
+  return zones.size === 1 && near.length >= minNear ? near : all;
 }
--- a/src/shards/rows.ts
+++ b/src/shards/rows.ts
@@ -1,20 +1,20 @@
-/** The table rows that say who holds a shard. */
+/** Table rows of the holders of shards. */
 import * as z from 'zod';
 import { leaseHolderSchema } from '../lease/index.js';
 
 export const shardRowSchema = z.object({
   holder: leaseHolderSchema,
-  /** Grows each time that the shard is taken. */
+  /** Increases each time the shard is taken. */
   fence: z.number().int().positive(),
-  /** True after the holder gave the shard back with nothing under way. */
+  /** True after the holder released the shard without work in progress. */
   released: z.boolean(),
 });
 
-/** Who holds a shard. */
+/** The holder of a shard. */
 export type ShardRow = z.infer<typeof shardRowSchema>;
 
 /**
- * Key of a shard's row.
+ * Returns the key of a shard's row.
  *
  * @param shard name of the shard
  */
@@ -23,9 +23,9 @@
 }
 
 /**
- * Reads a shard row; `undefined` when the value is none.
+ * Parses a shard row; `undefined` if the value is not valid.
  *
- * @param value a row's value as the table gave it
+ * @param value a row's value as read from the table
  */
 export function parseShardRow(value: unknown): ShardRow | undefined {
   const parsed = shardRowSchema.safeParse(value);
--- a/src/shards/server-watch.ts
+++ b/src/shards/server-watch.ts
@@ -1,8 +1,7 @@
 /**
- * The task by which the holder of a shard keeps itself informed of each server, by the server's own
- * word on its state. The state is read at a pace of its own, whatever the other reads take: that a
- * server leaves is heard within twice the time a call may take and one period. Load reports are not
- * read: the tally is exact without them, and before an order the load is asked for then.
+ * Polls the state and the cache events of a server for the holder of its shard. The state is polled
+ * independently of slow reads of cache events, so a leaving server is noticed within one interval
+ * plus twice the timeout of a call. Load reports are not read: the holder counts its permits.
  */
 import type { Failure } from '../errors/index.js';
 import type {
@@ -15,22 +14,21 @@
 import type { Clock, Timer } from '../task/index.js';
 import type { Result } from 'ts-results-es';
 
-/** What the watch tells its owner. */
+/** Receives the results of a watch. */
 export interface ServerWatchListener {
   engineStateReceived(state: EngineState): void;
   serviceStateReceived(state: ServiceState): void;
-  /** Changes of the engine's prefix cache, late and with gaps. */
+  /** Changes of the engine's prefix cache; they arrive late and with gaps. */
   cacheEventsReceived(server: string, events: readonly CacheEvent[]): void;
-  /** The server did not answer. */
   answerMissed(server: string, failure: Failure): void;
 }
 
-/** A watch over one server. */
+/** A running watch of one server. */
 export interface ServerWatch {
   stop(): void;
 }
 
-/** What a watch needs. */
+/** Dependencies of a watch. */
 export interface ServerWatchParts {
   clock: Clock;
   intervalMs: number;
@@ -41,7 +39,7 @@
  * Watches a model engine until stopped.
  *
  * @param engine the engine
- * @param parts the clock and who is told
+ * @param parts clock, interval and listener
  */
 export function watchEngine(engine: ModelEngine, parts: ServerWatchParts): ServerWatch {
   const events = createCacheReader(engine, parts.listener);
@@ -62,7 +60,7 @@
  * Watches a worker of a plain service until stopped.
  *
  * @param service the worker
- * @param parts the clock and who is told
+ * @param parts clock, interval and listener
  */
 export function watchService(service: PlainService, parts: ServerWatchParts): ServerWatch {
   return watch(service, parts, {
@@ -79,27 +77,27 @@
   read(incarnation: string): Promise<void>;
 }
 
-/** Reads on where it stopped; another incarnation numbers its events anew. */
-function createCacheReader(engine: ModelEngine, owner: ServerWatchListener): CacheReader {
-  let after = 0;
+/** Reads events after the last one seen; a new incarnation restarts the sequence numbers. */
+function createCacheReader(engine: ModelEngine, listener: ServerWatchListener): CacheReader {
+  let lastSequence = 0;
   let known = '';
   return {
     async read(incarnation) {
-      if (incarnation !== known) after = 0;
+      if (incarnation !== known) lastSequence = 0;
       known = incarnation;
-      const events = await engine.cacheEvents(after);
+      const events = await engine.cacheEvents(lastSequence);
       if (events.isErr()) return;
-      after = events.value.at(-1)?.sequence ?? after;
-      owner.cacheEventsReceived(engine.id, events.value);
+      lastSequence = events.value.at(-1)?.sequence ?? lastSequence;
+      listener.cacheEventsReceived(engine.id, events.value);
     },
   };
 }
 
-/** What is read of a server. */
+/** Reads from one kind of server. */
 interface Reads {
-  /** Its own word, passed on to the owner. */
+  /** Reads the state and passes it to the listener. */
   readState(): Promise<Result<unknown, Failure>>;
-  /** What there is besides the state. */
+  /** Reads data other than the state. */
   readMore(): Promise<void>;
 }
 
@@ -108,14 +106,14 @@
   parts: ServerWatchParts,
   reads: Reads,
 ): ServerWatch {
-  const { clock, intervalMs: everyMs, listener: owner } = parts;
+  const { clock, intervalMs: everyMs, listener: listener } = parts;
   let timer: Timer | undefined;
   let isReading = false;
   let stopped = false;
 
   async function readState(): Promise<void> {
     const state = await reads.readState();
-    if (state.isErr()) owner.answerMissed(server.id, state.error);
+    if (state.isErr()) listener.answerMissed(server.id, state.error);
     else if (!isReading && !stopped) void readRest();
   }
 
--- a/test/shards/leaving.test.ts
+++ b/test/shards/leaving.test.ts
@@ -46,7 +46,7 @@
   avoid: [],
 };
 
-/** An engine that answers as slowly as its callers bear; what it says is as old as its answer. */
+/** Wraps an engine so that answers take almost the call timeout and are stale on arrival. */
 function slowDown(engine: ModelEngine, clock: Clock): ModelEngine {
   return {
     ...engine,
@@ -60,7 +60,7 @@
   };
 }
 
-/** A holder of one shard with one engine, whose servers and platform are slow, and its work. */
+/** Creates a shard holder with one slow engine, a slow platform list and a steady load. */
 async function setUp() {
   const { clock, advance, runUntil } = createFakeClock();
   const { table } = createMemoryTable();
@@ -146,7 +146,7 @@
 type Bench = Awaited<ReturnType<typeof setUp>>;
 
 const sources: Record<string, (bench: Bench) => unknown> = {
-  'its own word': ({ engine }) => {
+  'its reported state': ({ engine }) => {
     engine.control.leave();
   },
   "the platform's list": ({ platform }) => {
@@ -160,16 +160,16 @@
 };
 
 describe('a backend server that leaves', () => {
-  for (const [source, tell] of Object.entries(sources)) {
-    it(`gets no new work 3 s after ${source} said so, however slow the answers are`, async () => {
+  for (const [source, startLeaving] of Object.entries(sources)) {
+    it(`gets no new work 3 s after it leaves according to ${source}, even with slow answers`, async () => {
       for (let offset = 0; offset < 3_000; offset += 370) {
         const bench = await setUp();
         await bench.advance(5_000 + offset);
         expect(bench.lastGrantAt()).to.be.above(bench.clock.now() - 200);
-        const saidAt = bench.clock.now();
-        await tell(bench);
+        const changedAt = bench.clock.now();
+        await startLeaving(bench);
         await bench.advance(15_000);
-        expect(bench.lastGrantAt() - saidAt).to.be.below(LIMIT_MS);
+        expect(bench.lastGrantAt() - changedAt).to.be.below(LIMIT_MS);
       }
     });
   }
--- a/test/shards/ownership-load.test.ts
+++ b/test/shards/ownership-load.test.ts
@@ -14,7 +14,7 @@
 const former = { node: 'entry-2', incarnation: 'i', peer: '127.0.0.1:1', leaseId: 'theirs' };
 const own = { node: 'entry-1', incarnation: 'i', peer: '127.0.0.1:2', leaseId: 'ours' };
 
-/** A node that sees a shard whose holder it does not hear, while the holder's lease is alive. */
+/** Starts ownership on a node that gets no summaries from a holder with a valid lease. */
 async function start() {
   const { clock, advance } = createFakeClock();
   const { table, control } = createMemoryTable();
@@ -45,8 +45,8 @@
   return { ownership, control, row, list, lost, advance };
 }
 
-describe('a shard whose holder is alive but not heard', () => {
-  it('is looked at ever more rarely, down to every five seconds', async () => {
+describe('a shard whose holder has a valid lease but sends no summaries', () => {
+  it('is checked with increasing backoff, up to every five seconds', async () => {
     const { control, advance } = await start();
     const readsIn = async (durationMs: number) => {
       const before = control.reads;
@@ -58,7 +58,7 @@
     expect(await readsIn(60_000)).to.be.within(10, 13);
   });
 
-  it('is taken within an eighth of the time waited once the lease is over', async () => {
+  it('is taken after the lease is over, within an eighth of the time without summaries', async () => {
     const { ownership, row, advance } = await start();
     await advance(4_000);
     row.state = 'lapsed';
@@ -67,8 +67,8 @@
   });
 });
 
-describe('a fleet that is parted anew', () => {
-  it('is held under its new shards alone', async () => {
+describe('a repartitioned fleet', () => {
+  it('is held only under its new shards', async () => {
     const { ownership, control, row, list, lost, advance } = await start();
     row.state = 'lapsed';
     await advance(1_000);
@@ -86,7 +86,7 @@
   });
 });
 
-describe('the nodes that are to hold a shard', () => {
+describe('the nodes that may hold a shard', () => {
   const nodes = [
     { node: 'entry-1', zone: 'tema-hall' },
     { node: 'entry-2', zone: 'tema-hall' },
@@ -97,7 +97,7 @@
     return { name: 'manuals', kind: 'model-engine' as const, vms };
   };
 
-  it('are those of its zone where there are enough, and else all', () => {
+  it('are those of its zone if there are enough, and otherwise all', () => {
     const near = (least: number, ...zones: string[]) =>
       selectNearNodes(shardIn(...zones), nodes, least);
     expect(near(2, 'tema-hall', 'tema-hall')).to.deep.equal(['entry-1', 'entry-2']);
