--- a/src/permits/admission.ts
+++ b/src/permits/admission.ts
@@ -60,7 +60,8 @@
   const { request, candidates, now } = input;
   const prefillMs = resolvePrefillMs(request, candidates, now);
   const decodeMs = resolveDecodeMs(input);
-  // Requests in other subqueues did not find room, so they do not keep this one from its room.
+  // Requests in other subqueues only wait because they found no room, so if there is room for this
+  // request, only its own subqueue can delay it.
   const before = resolveAhead(input, isOwnSubqueue);
   if (before.requests === 0 && hasAnyRoom(input)) return { queueingMs: 0, prefillMs, decodeMs };
   const ahead = resolveAhead(input, isCompeting);
--- a/src/permits/recent-use.ts
+++ b/src/permits/recent-use.ts
@@ -1,7 +1,6 @@
 /**
- * Detects teams that currently exceed their fair share, by exponentially decayed service relative
- * to the weights of all recently served teams. Unlike `FairShare`, it also works while the queue is
- * empty.
+ * Detects teams that exceed their fair share, by exponentially decayed service relative to the
+ * weights of all recently served teams. Unlike `FairShare`, it also works with an empty queue.
  */
 import { FAIR_BAND_TOKENS, type TeamCharge } from './fair-share.js';
 
--- a/src/permits/shard-holder.ts
+++ b/src/permits/shard-holder.ts
@@ -8,7 +8,8 @@
  * - server state: 0.5 s; a server that missed two answers gets no work;
  * - load reports: not used; before an order the engine's load is read anew (`src/orders`);
  * - learned rates: measurements have a half-life of 10 s, beyond which the reported rates apply;
- * - cached prefixes: those of prompts prefilled under permits, less those in cache events.
+ * - cached prefixes: those of prompts prefilled under permits, less those in cache events, which are
+ *   late and may be lost; charges are corrected by the cached tokens that releases report.
  */
 import type {
   PermitAdoption,
