--- a/src/caller/parts.ts
+++ b/src/caller/parts.ts
@@ -27,7 +27,7 @@
   createRequestId(): string;
   readiness(): Readiness;
   entryPoints(zone: string | undefined): EntryPoints;
-  /** Finds the fate of a request of another node; `undefined` if no node knows it. */
+  /** Finds the status of a request of another node; `undefined` if no node knows it. */
   findRequestStatus(requestId: string): Promise<RequestStatus | undefined>;
   /** Changes the number of requests in flight. */
   track(change: 1 | -1): void;
--- a/src/relay/caller-retries.ts
+++ b/src/relay/caller-retries.ts
@@ -12,7 +12,7 @@
    * Records a caller's wait and returns whether the caller is retrying.
    *
    * @param route name of the route
-   * @param waitMs how long the caller will wait; `undefined` if it did not say
+   * @param waitMs how long the caller will wait; `undefined` if it did not state it
    */
   isRetry(route: string, waitMs: number | undefined): boolean;
 }
--- a/src/relay/prefill.ts
+++ b/src/relay/prefill.ts
@@ -13,7 +13,7 @@
   | { kind: 'read'; handle: string }
   | { kind: 'declined'; status: number }
   | { kind: 'unsent'; reason: string }
-  /** Nothing was watchedSend, because the engine is leaving or has asked for a pause. */
+  /** Nothing was sent, because the engine is leaving or has asked for a pause. */
   | { kind: 'withheld'; reason: string }
   | { kind: 'lost'; reason: string }
   /** Aborted because the engine did not answer within the limit. */
--- a/src/relay/protocol.ts
+++ b/src/relay/protocol.ts
@@ -11,7 +11,7 @@
   /** The caller's id for this attempt; `undefined` if it sent none. */
   requestId: string | undefined;
   host: string;
-  /** How long the caller will wait from now, in milliseconds; `undefined` if it did not say. */
+  /** How long the caller will wait from now, in milliseconds; `undefined` if it did not state it. */
   waitMs: number | undefined;
   prompt: Prompt | undefined;
   /** The last event that the caller received of an earlier answer; `undefined` on a first attempt. */
--- a/src/relay/request.ts
+++ b/src/relay/request.ts
@@ -190,7 +190,7 @@
     },
     start: (server, terms, receiver) =>
       startExchange(
-        outgoing(server, terms),
+        createOutgoing(server, terms),
         parts.connections.agentFor(server.id),
         clock,
         receiver,
@@ -219,16 +219,20 @@
     recordHealth,
   };
 
-  function outgoing(
+  function createOutgoing(
     server: RegisteredServer,
     terms: Omit<SendTerms, 'serverId' | 'timeLeftMs'>,
   ): OutgoingRequest {
-    const all = { ...terms, serverId: resolveServerName(server), timeLeftMs: endAt - clock.now() };
+    const sendTerms = {
+      ...terms,
+      serverId: resolveServerName(server),
+      timeLeftMs: endAt - clock.now(),
+    };
     return {
       address: server.address,
       method,
       path,
-      rawHeaders: protocol.sendHeaders(head, all, body?.length ?? 0),
+      rawHeaders: protocol.sendHeaders(head, sendTerms, body?.length ?? 0),
       body,
       withholdReason: () => gate.withholdReason(server),
     };
@@ -279,7 +283,7 @@
     log.write('requestSent', { request: requestId, server: server.id, attempt: progress.attempts });
     return sendOnce(
       {
-        request: outgoing(server, { source, urgency, lastEventId }),
+        request: createOutgoing(server, { source, urgency, lastEventId }),
         requestId,
         server,
         agent: parts.connections.agentFor(server.id),
