--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,3 +1,3 @@
-/** A gateway: routes callers' requests to a fleet that others run. */
+/** A gateway, which routes callers' requests to backend servers. */
 export * from './gateway.js';
 export * from './settings.js';
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -16,7 +16,7 @@
   changeMs: number | undefined;
   /** Duration of the lease on sending orders, in milliseconds. */
   leaseMs: number;
-  /** Retries allowed per request, as a ratio. */
+  /** Retries allowed, as a share of requests. */
   retryRatio: number;
   /** Additional retries per window, for all gateways together. */
   retryAllowance: number;
--- a/src/peers/membership.ts
+++ b/src/peers/membership.ts
@@ -27,7 +27,7 @@
   status(): OwnStatus;
   /** Names of the current partners. */
   partners(): readonly string[];
-  /** Whether a peer has recently sent something over a direct link. */
+  /** Whether a peer is a partner that has sent something recently. */
   isResponsive(node: string): boolean;
   send(node: string, message: PeerMessage): void;
   /** Called when a peer is considered lost, or was replaced by another incarnation. */
--- a/src/peers/overlay.ts
+++ b/src/peers/overlay.ts
@@ -183,13 +183,13 @@
     }
   }
 
-  /** Whether this gateway itself seems to be cut off; it then suspects noPeers. */
+  /** Whether this gateway itself seems to be cut off; it then suspects no peer. */
   function isIsolated(): boolean {
     return partners.names().length > 0 && clock.now() - heardAt > ISOLATED_AFTER_MS;
   }
 
   function receive(node: string, message: PeerMessage): void {
-    // partners could not be heard while this gateway was isolated
+    // silence while this gateway was isolated is no reason to suspect partners
     if (isIsolated()) partners.resetSilence(clock.now());
     heardAt = clock.now();
     awaiting.delete(node);
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,4 +1,4 @@
-/** Routes of hosts and path prefixes to services. */
+/** The routing table and its lookup. */
 export * from './replica.js';
 export * from './route.js';
 export * from './route-index.js';
--- a/test/gateway/relay.test.ts
+++ b/test/gateway/relay.test.ts
@@ -260,7 +260,7 @@
       expect(answers.map(({ status }) => status)).to.deep.equal([200, 200]);
     });
 
-    it('relays the failure once all attempts are used', async () => {
+    it('return the last failure once all attempts are used', async () => {
       await addSpare();
       for (const server of [page, spare]) {
         server.script((request, response) => {
--- a/test/gateway/requests-that-end-servers.test.ts
+++ b/test/gateway/requests-that-end-servers.test.ts
@@ -91,8 +91,8 @@
 
   async function expectServed(path: string, body: string): Promise<void> {
     const port = gateways[0]?.settings.callers.port ?? 0;
-    const question = { method: 'POST', path, headers: heads('other'), body };
-    await until(async () => (await ask(port, question)).status === 200);
+    const options = { method: 'POST', path, headers: heads('other'), body };
+    await until(async () => (await ask(port, options)).status === 200);
   }
 
   it('is refused by all gateways after three crashes of a plain service', async () => {
@@ -124,8 +124,8 @@
       () => gateways[0]?.log.lines.some(({ event }) => event === 'requestBanned') ?? false,
     );
     const port = gateways[0]?.settings.callers.port ?? 0;
-    const question = { method: 'POST', path: '/once/7', headers: heads('late'), body: BODY };
-    expect((await ask(port, question)).status).to.equal(503);
+    const options = { method: 'POST', path: '/once/7', headers: heads('late'), body: BODY };
+    expect((await ask(port, options)).status).to.equal(503);
     expect(countCrashed(pages)).to.equal(before);
   });
 
@@ -138,8 +138,8 @@
     const lifted = await ask(first?.metrics.port ?? 0, { method: 'DELETE', path });
     expect([bans.length, lifted.status]).to.deep.equal([1, 200]);
     const before = countCrashed(pages);
-    const question = { method: 'POST', path: '/once/7', headers: heads('again'), body: BODY };
-    await until(async () => (await ask(second?.callers.port ?? 0, question)).status === 502);
+    const options = { method: 'POST', path: '/once/7', headers: heads('again'), body: BODY };
+    await until(async () => (await ask(second?.callers.port ?? 0, options)).status === 502);
     expect(countCrashed(pages)).to.equal(before + 1);
     const none = await ask(second?.metrics.port ?? 0, { method: 'DELETE', path: '/bans/none' });
     expect(none.status).to.equal(404);
