--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -45,7 +45,7 @@
   send(node: string, message: PeerMessage): boolean;
   isLinked(node: string): boolean;
   /** Time of the last message from a peer, on the gateway's clock; `undefined` without a link. */
-  heardAt(node: string): number | undefined;
+  lastReceivedAt(node: string): number | undefined;
   /** Peers with an idle link that this end dialled. Links that the other end dialled are excluded, since that
    * end may need them. */
   idle(): string[];
@@ -62,7 +62,7 @@
   socket: WebSocket;
   state: GatewayState | undefined;
   openedAt: number;
-  heardAt: number;
+  lastReceivedAt: number;
   /** Time of the last message about a request; `undefined` if there was none. */
   usedAt: number | undefined;
   /** Address that this end dialled; `undefined` if the other end dialled. */
@@ -91,7 +91,7 @@
       socket,
       state: undefined,
       openedAt: now,
-      heardAt: now,
+      lastReceivedAt: now,
       usedAt: undefined,
       address,
       isReplacement,
@@ -146,13 +146,13 @@
       drop(link);
       return;
     }
-    link.heardAt = clock.now();
+    link.lastReceivedAt = clock.now();
     if (message.kind === 'introduction') {
       handleIntroduction(link, message.state, message.isReplacement);
       return;
     }
     if (link.state === undefined) return;
-    if (isAboutRequest(message)) link.usedAt = link.heardAt;
+    if (isAboutRequest(message)) link.usedAt = link.lastReceivedAt;
     listener.received(link.state.node, message);
   }
 
@@ -175,7 +175,7 @@
   }
 
   function isStale(previous: Link, link: Link): boolean {
-    return link.isReplacement && clock.now() - previous.heardAt > STALE_AFTER_MS;
+    return link.isReplacement && clock.now() - previous.lastReceivedAt > STALE_AFTER_MS;
   }
 
   /**
@@ -246,7 +246,7 @@
       return true;
     },
     isLinked: (node) => byNode.has(node),
-    heardAt: (node) => byNode.get(node)?.heardAt,
+    lastReceivedAt: (node) => byNode.get(node)?.lastReceivedAt,
     idle: () => [...byNode].filter(([, link]) => isIdle(link)).map(([node]) => node),
     nodes: () => [...byNode.keys()],
     drop(node) {
--- a/src/peers/overlay.ts
+++ b/src/peers/overlay.ts
@@ -108,7 +108,7 @@
   let chosenFrom: readonly GatewayState[] | undefined;
   let chosen = new Set<string>();
   /** Time of the last message from any peer. */
-  let heardAt = Number.NEGATIVE_INFINITY;
+  let lastReceivedAt = Number.NEGATIVE_INFINITY;
   let wasIsolated = false;
   let lastComparedAt = Number.NEGATIVE_INFINITY;
   let lastTickAt = clock.now();
@@ -120,7 +120,7 @@
     self,
     status: () => parts.status(),
     partners: () => partners.names(),
-    isResponsive: wasHeardRecently,
+    isResponsive: hasSentRecently,
     send(node, message) {
       links.send(node, message);
     },
@@ -185,13 +185,13 @@
 
   /** Whether this gateway itself seems to be cut off; it then suspects no peer. */
   function isIsolated(): boolean {
-    return partners.names().length > 0 && clock.now() - heardAt > ISOLATED_AFTER_MS;
+    return partners.names().length > 0 && clock.now() - lastReceivedAt > ISOLATED_AFTER_MS;
   }
 
   function receive(node: string, message: PeerMessage): void {
     // silence while this gateway was isolated is no reason to suspect partners
     if (isIsolated()) partners.resetSilence(clock.now());
-    heardAt = clock.now();
+    lastReceivedAt = clock.now();
     awaiting.delete(node);
     if (message.kind === 'beat') handleHeartbeat(node, message);
     else if (message.kind === 'news') membership.applyUpdates(message, node);
@@ -225,9 +225,9 @@
     links.send(node, { kind: 'want', what: 'view', after: 0 });
   }
 
-  function wasHeardRecently(node: string): boolean {
-    const heardAt = partners.has(node) ? links.heardAt(node) : undefined;
-    return heardAt !== undefined && clock.now() - heardAt < REDIAL_AFTER_MS;
+  function hasSentRecently(node: string): boolean {
+    const receivedAt = partners.has(node) ? links.lastReceivedAt(node) : undefined;
+    return receivedAt !== undefined && clock.now() - receivedAt < REDIAL_AFTER_MS;
   }
 
   function tick(): void {
@@ -276,7 +276,7 @@
 
   function resetSilence(now: number): void {
     partners.resetSilence(now);
-    heardAt = now;
+    lastReceivedAt = now;
   }
 
   function linkPartners(now: number): void {
