--- a/src/lease/node-lease.ts
+++ b/src/lease/node-lease.ts
@@ -40,7 +40,7 @@
   isValid(): boolean;
   /** Remaining validity of the lease, in milliseconds; 0 if it is not valid. */
   validForMs(): number;
-  /** The identity of the current lease; `undefined` if none is held. */
+  /** The identity of the lease; `undefined` before it was acquired and after it was lost. */
   holder(): LeaseHolder | undefined;
 }
 
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -1,7 +1,7 @@
 /**
- * Requests trials of suspected requests from the gateway that coordinates their service, and coordinates the trials of
- * the services assigned to this gateway. Trials are best effort: if the coordinator does not answer, the request runs
- * without waiting.
+ * Requests trials of suspected requests, that is, of requests under which a server has crashed, from the gateway that
+ * coordinates their service. Also coordinates the trials of the services assigned to this gateway. Trials are best
+ * effort: if the coordinator does not answer, the request runs without waiting.
  */
 import { match } from 'ts-pattern';
 import * as z from 'zod';
@@ -17,7 +17,7 @@
 const MAX_QUEUED_MS = 500;
 
 const idField = { id: z.string() };
-/** Current records of the request, which may not have reached the receiver otherwise yet. */
+/** Current records of the request, which the receiver may not have yet. */
 const knownField = { known: z.array(crashRowSchema) };
 
 export const trialMessageSchemas = [
--- a/test/lease/leases.test.ts
+++ b/test/lease/leases.test.ts
@@ -37,7 +37,7 @@
   ),
 });
 
-/** Runs a scenario; returns how many nodes believed to hold the shard, at most at once and at the end. */
+/** Runs a scenario; returns how many nodes believed that they held the shard, at once at most and at the end. */
 async function run(scenario: Scenario, terms: LeaseTerms, shared = false) {
   const { clock, advance } = createFakeClock();
   const { table } = createMemoryTable();
@@ -141,7 +141,7 @@
     return { clock, advance, runUntil, control, reading, holder, other, start, row };
   }
 
-  /** Returns the time until a node believes to hold the shard, in milliseconds. */
+  /** Returns the time until a node believes that it holds the shard, in milliseconds. */
   async function timeUntil(node: LeaseNode, clock: Clock, advance: (ms: number) => Promise<void>) {
     const from = clock.now();
     while (!node.believes() && clock.now() - from < 20_000) await advance(10);
