--- a/src/backpressure/notices.ts
+++ b/src/backpressure/notices.ts
@@ -9,7 +9,7 @@
 /** Minimum relative change of a limit that is sent to other gateways, so that a server that
  * recalculates its limit for each answer does not cause constant gossip. */
 const MIN_CHANGE_SHARE = 0.1;
-/** Retention of an entry that no answer has confirmed, in ms. */
+/** Retention of an entry that no answer has confirmed, in ms; a later answer restores it. */
 const RETENTION_MS = 60_000;
 
 /** Signals of a server to all gateways. */
--- a/src/scheduling/decode-engines.ts
+++ b/src/scheduling/decode-engines.ts
@@ -5,8 +5,9 @@
 import type { RegisteredServer } from '../fleet/index.js';
 import { OTHER_ZONE_PENALTY_MS } from './policy.js';
 
-/** Maximum requests of the same or a more urgent rank at an engine, as a multiple of its slots. Engines
- * admit by rank, so less urgent requests do not count. */
+/** Maximum requests of the same or a more urgent rank at an engine, as a multiple of its slots; above 1,
+ * so that freed slots are filled at once. Engines admit by rank, so less urgent requests do not
+ * count. */
 const MAX_FILL_OF_RANK = 1.5;
 /** Maximum requests of all ranks at an engine, as a multiple of its slots; engines decline more. */
 const MAX_FILL = 3;
--- a/src/scheduling/latency-models.ts
+++ b/src/scheduling/latency-models.ts
@@ -5,7 +5,8 @@
 import type { EngineRole } from '../fleet/index.js';
 import { createLatencyModel, type LatencyModel, type Work } from './latency-model.js';
 
-/** How much slower a prefill is on a decode engine; used until both kinds have samples. */
+/** How much slower a prefill is on a decode engine, by the engines' specification; used until both
+ * kinds have samples. */
 const LOCAL_PREFILL_SLOWDOWN = 2;
 
 /** Latency models of one service's engines. */
--- a/src/scheduling/policy.ts
+++ b/src/scheduling/policy.ts
@@ -67,7 +67,8 @@
 /** Upper bound of the weight as spare capacity decreases, so that prompts still move away from an
  * engine whose queue is several prefills longer. */
 export const MAX_ENGINE_TIME_WEIGHT = 4;
-/** Cost of a prefill in another availability zone, as milliseconds until the first event. */
+/** Cost of a prefill in another availability zone, as milliseconds until the first event; traffic
+ * between zones is charged. */
 export const OTHER_ZONE_PENALTY_MS = 8;
 /** A late request is admitted only if its deadline allows this multiple of the estimated time, since
  * the delay behind requests with priority varies widely. */
--- a/src/scheduling/prefill-options.ts
+++ b/src/scheduling/prefill-options.ts
@@ -19,7 +19,7 @@
 /** Penalty per assigned prefill while there are no latency samples, in ms. It has to exceed the zone
  * penalty, so that the first prefills are spread over all engines. */
 const PROBE_PENALTY_MS = 10 * OTHER_ZONE_PENALTY_MS;
-/** How much slower a KV cache transfer is between availability zones. */
+/** How much slower a KV cache transfer is between availability zones, by the engines' specification. */
 const OTHER_ZONE_TRANSFER_FACTOR = 2;
 
 /** An engine that could prefill a prompt. */
@@ -36,7 +36,7 @@
   latencyModels: LatencyModels;
   mechanisms: SchedulingMechanisms;
   candidates: Candidates;
-  engines: EngineStates;
+  engineStates: EngineStates;
   decodeEngines: DecodeEngines;
   limits: SendLimits;
 }
@@ -68,7 +68,8 @@
  * @param parts the engines with their estimates
  */
 export function createPrefillOptions(parts: PrefillOptionsParts): PrefillOptions {
-  const { clock, latencyModels, mechanisms, candidates, engines, decodeEngines, limits } = parts;
+  const { clock, latencyModels, mechanisms, candidates, engineStates, decodeEngines, limits } =
+    parts;
 
   function list(
     tracked: TrackedJob,
@@ -95,8 +96,8 @@
     server: RegisteredServer,
     handoffMs: number,
   ): PrefillOption {
-    const engine = engines.model(server.id);
-    const queue = engines.queue(server.id);
+    const engine = engineStates.model(server.id);
+    const queue = engineStates.queue(server.id);
     const startsInMs = engine.prefills.remainingMs(clock.now());
     const prefillMs = engine.estimatePrefillMs('prefill', tracked.job.prompt);
     const newcomer = { ...tracked, isLate: false, prefillMs: () => prefillMs };
@@ -121,7 +122,7 @@
   }
 
   function estimateLocal({ job }: TrackedJob, server: RegisteredServer): PrefillOption {
-    const engine = engines.model(server.id);
+    const engine = engineStates.model(server.id);
     const prefillMs = engine.estimatePrefillMs('decode', job.prompt);
     return {
       server,
@@ -151,7 +152,7 @@
   }
 
   function busyMs(id: string): number {
-    const engine = engines.model(id);
+    const engine = engineStates.model(id);
     const now = clock.now();
     return engine.prefills.remainingMs(now) + engine.transfers.remainingMs(now);
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -104,7 +104,7 @@
     limits,
     requestCount,
   });
-  const engines = createEngineStates({
+  const engineStates = createEngineStates({
     log,
     latencyModels,
     cacheTokens: () => parts.cacheTokens(),
@@ -116,14 +116,14 @@
     latencyModels,
     mechanisms,
     candidates,
-    engines,
+    engineStates,
     decodeEngines,
     limits,
   });
 
   /** Requests that run on an engine or wait for it. */
   function requestCount(id: string): number {
-    return decodeEngines.running(id) + engines.requestCount(id);
+    return decodeEngines.running(id) + engineStates.requestCount(id);
   }
 
   function submit(job: Job, onDecision: (decision: Decision) => void): void {
@@ -192,7 +192,7 @@
   function enqueue(tracked: TrackedJob, engine: EngineModel): void {
     tracked.engine = engine;
     tracked.prefillEstimateMs = engine.estimatePrefillMs('prefill', tracked.job.prompt);
-    engines.queue(engine.id).add(tracked);
+    engineStates.queue(engine.id).add(tracked);
     if (tracked.isLate) scheduleExpiry(tracked);
     startPrefills(engine);
   }
@@ -247,7 +247,7 @@
 
   /** Starts queued prefills while the engine can take more. */
   function startPrefills(engine: EngineModel): void {
-    const queue = engines.queue(engine.id);
+    const queue = engineStates.queue(engine.id);
     while (hasRoom(engine)) {
       const tracked = queue.takePunctual() ?? takeLate(engine, queue);
       if (tracked === undefined) return;
@@ -299,7 +299,7 @@
       return;
     }
     markLate(tracked);
-    const queue = engines.queue(engine.id);
+    const queue = engineStates.queue(engine.id);
     const workAheadMs = engine.prefills.remainingMs(clock.now()) + queue.lateWorkMs();
     tracked.expectedFirstTokenAt =
       clock.now() + workAheadMs / spareCapacity() + tracked.prefillMs();
@@ -337,7 +337,7 @@
   }
 
   function placeLocally(tracked: TrackedJob, server: RegisteredServer): void {
-    const engine = engines.model(server.id);
+    const engine = engineStates.model(server.id);
     tracked.engine = engine;
     tracked.stage = 'read-directly';
     engine.startPrefill(tracked.job.id, 'decode', tracked.job.prompt, clock.now());
@@ -356,7 +356,7 @@
 
   function startTransfer(tracked: TrackedJob, decodeEngine: string, isOtherZone: boolean): void {
     const { job } = tracked;
-    const engine = engines.model(decodeEngine);
+    const engine = engineStates.model(decodeEngine);
     tracked.engine = engine;
     tracked.stage = 'transferred';
     decodeLoad.observeTransfer(
@@ -413,7 +413,7 @@
   }
 
   function leaveQueue(tracked: TrackedJob): void {
-    if (tracked.engine !== undefined) engines.queue(tracked.engine.id).remove(tracked);
+    if (tracked.engine !== undefined) engineStates.queue(tracked.engine.id).remove(tracked);
   }
 
   /** Removes a request from its current engine, or from the queue of that engine. */
@@ -468,7 +468,7 @@
     forget(engine) {
       monitor.forget(engine);
       if (requestCount(engine) > 0) return;
-      engines.forget(engine);
+      engineStates.forget(engine);
       prefillTimers.get(engine)?.cancel();
       prefillTimers.delete(engine);
     },
