--- a/src/index.ts
+++ b/src/index.ts
@@ -11,13 +11,13 @@
 export { createMetrics, type Metrics } from './metrics/index.js';
 export { createNode, runNode, type Node, type NodeAddresses, type Secrets } from './node/index.js';
 export {
-  createFormers,
+  createFormerHolders,
   createOrderJournal,
   createShardOrders,
   resolveNextStep,
   type EngineView,
-  type Formers,
-  type FormersParts,
+  type FormerHolders,
+  type FormerHoldersParts,
   type JournalEntry,
   type JournalOutcome,
   type NextStep,
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -8,7 +8,7 @@
 import { createMembership } from '../membership/index.js';
 import { createMetrics } from '../metrics/index.js';
 import { createOperatorFront, type NodeStatus } from '../operator/index.js';
-import { createFormers } from '../orders/index.js';
+import { createFormerHolders } from '../orders/index.js';
 import { createBackends, createRequestStatuses, createPlacesInUse } from '../router/index.js';
 import type { Certificate, Settings } from '../settings/index.js';
 import { createOwnership, resolveShards, type Shard } from '../shards/index.js';
@@ -175,7 +175,7 @@
     listed: (vms) => {
       shards = resolveShards(vms, settings.shards);
       held.update(shards);
-      formers.learnList(vms);
+      formers.updateVmList(vms);
     },
   });
 
@@ -224,7 +224,7 @@
     isLeaseValid: () => lease.isValid(),
     readNodeRow: (name) => leaseMonitor.read(name),
     taken: (taken, former) => {
-      if (former?.released === true) formers.learnRelease(former.holder);
+      if (former?.released === true) formers.releaseReceived(former.holder);
       const shard = shards.find(({ name }) => name === taken.name);
       if (shard !== undefined) held.begin(taken, shard);
     },
@@ -233,7 +233,7 @@
     },
   });
 
-  const formers = createFormers({
+  const formers = createFormerHolders({
     clock,
     incarnation,
     listLagMs: settings.orders.listLagMs,
@@ -401,7 +401,7 @@
       // Before the lease is given back: then others take unsettled claims for unknown.
       await serving.stop();
       held.stopOrders();
-      await formers.sendingsEnded();
+      await formers.waitForSends();
       await ownership.release();
       await lease.release();
       leaseMonitor.stop();
--- a/src/node/orders.ts
+++ b/src/node/orders.ts
@@ -10,7 +10,7 @@
 } from '../configuration/index.js';
 import type { Log } from '../events/index.js';
 import type { Metrics } from '../metrics/index.js';
-import { createShardOrders, type Formers, type ShardOrders } from '../orders/index.js';
+import { createShardOrders, type FormerHolders, type ShardOrders } from '../orders/index.js';
 import type { ShardHolder } from '../permits/index.js';
 import type { TableService, Vm, WeightStore } from '../ports/index.js';
 import type { Backends } from '../router/index.js';
@@ -28,7 +28,7 @@
   replica: Pick<ConfigurationReplica, 'current'>;
   table: TableService;
   weightStore: WeightStore | undefined;
-  formers: Formers;
+  formers: FormerHolders;
   settings: Pick<Settings, 'lease' | 'orders'>;
   /** Time between two moments at which routers tell holders their places, in milliseconds. */
   adoptEveryMs: number;
--- a/src/orders/idle-wait.ts
+++ b/src/orders/drain.ts
@@ -15,19 +15,19 @@
 }
 
 /** What waiting needs. */
-export interface IdleWaitParts {
+export interface DrainParts {
   clock: Clock;
   engine: ModelEngine;
   tally: OrderTally;
   /** From when the tally knows what earlier holders granted, on the clock. */
-  tallyWholeAt: number;
+  tallyCompleteAt: number;
 }
 
 /** How far an engine is. `busy` until both accounts say that nothing runs. */
 export type Idleness = 'idle' | 'busy';
 
 /** The wait for one engine. */
-export interface IdleWait {
+export interface Drain {
   /** Keeps the engine free of new work from now on, if it is not kept free already. */
   begin(): void;
   /** Lets work in again. */
@@ -35,7 +35,7 @@
   /** For how long the engine has been kept free, in milliseconds; 0 when it is not. */
   heldForMs(): number;
   isHeld(): boolean;
-  look(): Promise<Idleness>;
+  check(): Promise<Idleness>;
 }
 
 /**
@@ -43,7 +43,7 @@
  *
  * @param parts the two accounts
  */
-export function createIdleWait(parts: IdleWaitParts): IdleWait {
+export function createDrain(parts: DrainParts): Drain {
   const { clock, engine, tally } = parts;
   let heldSince: number | undefined;
 
@@ -60,9 +60,9 @@
     },
     heldForMs: () => (heldSince === undefined ? 0 : clock.now() - heldSince),
     isHeld: () => heldSince !== undefined,
-    async look() {
+    async check() {
       const askedAt = clock.now();
-      if (heldSince === undefined || askedAt < parts.tallyWholeAt) return 'busy';
+      if (heldSince === undefined || askedAt < parts.tallyCompleteAt) return 'busy';
       if (tally.permitsOut(engine.id) > 0) return 'busy';
       const report = await engine.load();
       if (report.isErr()) return 'busy';
--- a/src/orders/engine-orders.ts
+++ b/src/orders/engine-orders.ts
@@ -16,12 +16,12 @@
 import type { EngineState, ModelEngine } from '../ports/index.js';
 import type { HeldShard } from '../shards/index.js';
 import { wait, type Clock } from '../task/index.js';
-import { areOthersCleared, listOthers, type Formers } from './formers.js';
-import type { IdleWait } from './idle-wait.js';
+import { areOthersCleared, listOthers, type FormerHolders } from './former-holders.js';
+import type { Drain } from './drain.js';
 import type { JournalEntry, OrderJournal } from './journal.js';
-import { listLoads, type LoadPace } from './load-pace.js';
+import { listLoads, type LoadPacer } from './load-pacer.js';
 import { resolveNextStep, type EngineView, type NextStep } from './next-step.js';
-import { resolveEquipment, type EngineRow, type Equipment, type JournalledOrder } from './rows.js';
+import { resolveSetup, type EngineRow, type EngineSetup, type JournalledOrder } from './rows.js';
 
 const LOOK_EVERY_MS = 250;
 const WITHHELD_AGAIN_MS = 5_000;
@@ -45,9 +45,9 @@
   node: string;
   held: HeldShard;
   journal: OrderJournal;
-  formers: Pick<Formers, 'isCleared' | 'duringSending'>;
-  idleWait: IdleWait;
-  pace: LoadPace;
+  formers: Pick<FormerHolders, 'isCleared' | 'trackSend'>;
+  drain: Drain;
+  pace: LoadPacer;
   clock: Clock;
   log: Log;
   metrics: Metrics;
@@ -58,9 +58,9 @@
   /** Whether the lease under which the shard is held may be relied on. */
   isLeaseValid(): boolean;
   /** A wanted state with what the engine's groups want besides, so that it is changed once. */
-  completeByGroups(wanted: Equipment): Equipment;
+  completeByGroups(wanted: EngineSetup): EngineSetup;
   /** What the engine's groups want of it; `undefined` when it lacks nothing or has to wait. */
-  wantedByGroups(present: Equipment): Equipment | undefined;
+  wantedByGroups(present: EngineSetup): EngineSetup | undefined;
   /** The engine's word after it carried an order out, for the tally. */
   learned(state: EngineState): void;
   /** Nothing is under way any more. */
@@ -72,9 +72,9 @@
   /** Reads the journal; an engine whose last order may still be on its way gets no work until it is settled. */
   start(): Promise<void>;
   /** The engine answered a look at its state; a moment to see whether anything is to be done. */
-  notice(state: EngineState): void;
+  updateState(state: EngineState): void;
   /** Changes the engine; settles when the change took effect or was given up. */
-  change(wanted: Equipment): Promise<Result<void, Failure>>;
+  change(wanted: EngineSetup): Promise<Result<void, Failure>>;
   /** Whether a change is wanted or under way. */
   isChanging(): boolean;
   /** Gives no further orders. */
@@ -83,7 +83,7 @@
 
 /** A change that was asked for. */
 interface Aim {
-  wanted: Equipment;
+  wanted: EngineSetup;
   answer(result: Result<void, Failure>): void;
 }
 
@@ -104,7 +104,7 @@
  * @param parts the engine, its journal and the limits
  */
 export function createEngineOrders(parts: EngineOrdersParts): EngineOrders {
-  const { engine, held, journal, formers, idleWait, pace, clock, log, metrics, terms } = parts;
+  const { engine, held, journal, formers, drain, pace, clock, log, metrics, terms } = parts;
   const own = held.holder;
   let entry: JournalEntry | undefined;
   let aim: Aim | undefined;
@@ -134,7 +134,7 @@
 
   /** A state that someone else read is enough to see that nothing is to be done, and for no more. */
   async function isAtRest(hint: EngineState): Promise<boolean> {
-    if (entry === undefined || hasAim() || idleWait.isHeld()) return false;
+    if (entry === undefined || hasAim() || drain.isHeld()) return false;
     const sight = await see(hint);
     return sight?.step.kind === 'none' && !hasAim();
   }
@@ -158,13 +158,13 @@
 
   /** Work is let in, unless an order that was sent may be about to reach the engine. */
   function restWithoutLease(): Progress {
-    if (!isOutstanding() || idleWait.heldForMs() >= terms.drainMs) idleWait.end();
+    if (!isOutstanding() || drain.heldForMs() >= terms.drainMs) drain.end();
     return 'rest';
   }
 
   function endureSilence(failure: Failure): Progress {
-    if (idleWait.isHeld() && idleWait.heldForMs() <= terms.drainMs) return 'look-again';
-    idleWait.end();
+    if (drain.isHeld() && drain.heldForMs() <= terms.drainMs) return 'look-again';
+    drain.end();
     finish(aim, Err(failure));
     return 'rest';
   }
@@ -205,9 +205,9 @@
     seenAim: Aim | undefined,
     row: EngineRow,
     state: EngineState,
-  ): Equipment | undefined {
+  ): EngineSetup | undefined {
     if (seenAim !== undefined) return parts.completeByGroups(seenAim.wanted);
-    return parts.wantedByGroups(row.order?.wanted ?? resolveEquipment(state));
+    return parts.wantedByGroups(row.order?.wanted ?? resolveSetup(state));
   }
 
   async function read(): Promise<JournalEntry | undefined> {
@@ -223,7 +223,7 @@
 
   /** Lets work in and tries nothing for a while. */
   function pause(delayMs: number): void {
-    idleWait.end();
+    drain.end();
     notBefore = clock.now() + delayMs;
   }
 
@@ -242,14 +242,14 @@
 
   function rest(sight: Sight): Progress {
     pace.reset();
-    idleWait.end();
+    drain.end();
     finish(sight.aim, Ok(undefined));
     return aim === undefined ? 'rest' : 'look-again';
   }
 
   /** An engine that leaves needs nothing any more. */
   function leave(sight: Sight): Progress {
-    idleWait.end();
+    drain.end();
     const message = 'the engine said that it leaves';
     finish(sight.aim, Err(refuse('leaving', 'order.send', message)));
     return 'rest';
@@ -288,7 +288,7 @@
     return send(adopted);
   }
 
-  async function giveNew(sight: Sight, wanted: Equipment, fence: number): Promise<Progress> {
+  async function giveNew(sight: Sight, wanted: EngineSetup, fence: number): Promise<Progress> {
     const prepared = await prepare(sight, wanted);
     if (prepared !== 'ready') return prepared;
     const order: JournalledOrder = {
@@ -305,23 +305,23 @@
   }
 
   /** Sees to the tickets for what the engine would load, then to its being idle. */
-  async function prepare({ state }: Sight, wanted: Equipment): Promise<Progress | 'ready'> {
-    const paced = await pace.request(listLoads(resolveEquipment(state), wanted));
+  async function prepare({ state }: Sight, wanted: EngineSetup): Promise<Progress | 'ready'> {
+    const paced = await pace.request(listLoads(resolveSetup(state), wanted));
     if (paced.kind === 'later') {
       log.write('loadPaced', { server: engine.id, failure: paced.failure });
-      if (idleWait.heldForMs() >= terms.drainMs) return giveUp();
+      if (drain.heldForMs() >= terms.drainMs) return giveUp();
       notBefore = clock.now() + paced.askAgainMs;
       return 'rest';
     }
-    if (!idleWait.isHeld()) {
-      idleWait.begin();
+    if (!drain.isHeld()) {
+      drain.begin();
       log.write('drainStarted', { server: engine.id });
     }
-    if ((await idleWait.look()) === 'idle') {
+    if ((await drain.check()) === 'idle') {
       log.write('drainFinished', { server: engine.id });
       return stopped ? 'rest' : 'ready';
     }
-    if (idleWait.heldForMs() < terms.drainMs) return 'look-again';
+    if (drain.heldForMs() < terms.drainMs) return 'look-again';
     return giveUp();
   }
 
@@ -340,7 +340,7 @@
   async function send(order: JournalledOrder): Promise<Progress> {
     if (stopped || !parts.isLeaseValid()) return 'rest';
     const { id: orderId, fence, wanted } = order;
-    const outcome = await formers.duringSending(engine.id, () =>
+    const outcome = await formers.trackSend(engine.id, () =>
       engine.order({ orderId, fence, node: parts.node, wanted }, terms.sendMs),
     );
     metrics.orders.inc({ outcome: outcome.kind });
@@ -411,9 +411,9 @@
   return {
     async start() {
       await read();
-      if (!stopped && isOutstanding()) idleWait.begin();
+      if (!stopped && isOutstanding()) drain.begin();
     },
-    notice: kick,
+    updateState: kick,
     change(wanted) {
       if (stopped) {
         const message = 'the shard is not held here any more';
@@ -428,7 +428,7 @@
         kick();
       });
     },
-    isChanging: () => hasAim() || idleWait.isHeld() || (running && isOutstanding()),
+    isChanging: () => hasAim() || drain.isHeld() || (running && isOutstanding()),
     stop,
   };
 }
--- a/src/orders/formers.ts
+++ b/src/orders/former-holders.ts
@@ -23,7 +23,7 @@
 const VM_KEPT_MS = 86_400_000;
 
 /** What proofs rest on. */
-export interface FormersParts {
+export interface FormerHoldersParts {
   clock: Clock;
   /** This process's incarnation. */
   incarnation: string;
@@ -37,15 +37,15 @@
 }
 
 /** Knows which former holders can send nothing any more. */
-export interface Formers {
+export interface FormerHolders {
   /** The platform's list changed; until now it was as last told. */
-  learnList(vms: readonly Vm[]): void;
+  updateVmList(vms: readonly Vm[]): void;
   /** A holder gave a shard back. */
-  learnRelease(holder: LeaseHolder): void;
+  releaseReceived(holder: LeaseHolder): void;
   /** Runs a sending of this process, and counts it as under way until it has ended. */
-  duringSending<Value>(engine: string, send: () => Promise<Value>): Promise<Value>;
+  trackSend<Value>(engine: string, send: () => Promise<Value>): Promise<Value>;
   /** Resolves once no sending of this process is under way. */
-  sendingsEnded(): Promise<void>;
+  waitForSends(): Promise<void>;
   /** Whether a holder provably sends no order to an engine any more. */
   isCleared(engine: string, former: FormerHolder): Promise<boolean>;
 }
@@ -55,7 +55,7 @@
  *
  * @param parts what they rest on
  */
-export function createFormers(parts: FormersParts): Formers {
+export function createFormerHolders(parts: FormerHoldersParts): FormerHolders {
   const { clock } = parts;
   const sendings = new Map<Promise<unknown>, string>();
   const released = new Set<string>();
@@ -84,7 +84,7 @@
   }
 
   return {
-    learnList(vms) {
+    updateVmList(vms) {
       const now = clock.now();
       const listed = listEntryAddresses(vms);
       for (const address of [...listedNow, ...listed]) {
@@ -93,10 +93,10 @@
       listedNow = listed;
       forgetOldVms(now);
     },
-    learnRelease(holder) {
+    releaseReceived(holder) {
       released.add(holder.leaseId);
     },
-    async duringSending(engine, send) {
+    async trackSend(engine, send) {
       const sending = send();
       sendings.set(sending, engine);
       try {
@@ -105,7 +105,7 @@
         sendings.delete(sending);
       }
     },
-    async sendingsEnded() {
+    async waitForSends() {
       await Promise.allSettled([...sendings.keys()]);
     },
     async isCleared(engine, { holder, fence }) {
@@ -113,7 +113,7 @@
       if (holder.incarnation === parts.incarnation) return !isSending(engine);
       if (released.has(holder.leaseId)) return true;
       const row = await parts.readNodeRow(holder.node);
-      if (row !== undefined && provesEnd(row, holder)) return true;
+      if (row !== undefined && provesTermination(row, holder)) return true;
       return isVmGone(holder.peer);
     },
   };
@@ -133,7 +133,7 @@
  * @param row the node's row as it is now
  * @param former the holder in question
  */
-export function provesEnd(row: NodeRow, former: LeaseHolder): boolean {
+export function provesTermination(row: NodeRow, former: LeaseHolder): boolean {
   const { holder, state } = row;
   if (holder.incarnation === former.incarnation) return state === 'released';
   return holder.peer === former.peer && isExclusive(former.peer);
@@ -156,7 +156,7 @@
  * @param own the lease under which this process holds the engine's shard
  */
 export async function areOthersCleared(
-  formers: Pick<Formers, 'isCleared'>,
+  formers: Pick<FormerHolders, 'isCleared'>,
   engine: string,
   row: EngineRow,
   own: LeaseHolder,
--- a/src/orders/group-equipment.ts
+++ b/src/orders/group-setup.ts
@@ -4,7 +4,7 @@
  * unloading takes it away for seconds and gains its groups nothing.
  */
 import type { EngineGroup } from '../configuration/index.js';
-import type { Equipment } from './rows.js';
+import type { EngineSetup } from './rows.js';
 
 /**
  * The state that an engine's groups want it in.
@@ -14,10 +14,10 @@
  * @returns `undefined` when it lacks nothing; otherwise its present role, with the models and
  *   adapters of its groups and no others
  */
-export function resolveGroupEquipment(
+export function resolveGroupSetup(
   groups: readonly EngineGroup[],
-  present: Equipment,
-): Equipment | undefined {
+  present: EngineSetup,
+): EngineSetup | undefined {
   const models = new Set<string>();
   const adapters = new Set<string>();
   for (const group of groups) {
--- a/src/orders/index.ts
+++ b/src/orders/index.ts
@@ -1,10 +1,10 @@
 /** Orders to engines: journalled, fenced and given only while nothing runs. */
 export * from './engine-orders.js';
-export * from './formers.js';
-export * from './group-equipment.js';
-export * from './idle-wait.js';
+export * from './former-holders.js';
+export * from './group-setup.js';
+export * from './drain.js';
 export * from './journal.js';
-export * from './load-pace.js';
+export * from './load-pacer.js';
 export * from './next-step.js';
 export * from './rows.js';
 export * from './shard-orders.js';
--- a/src/orders/load-pace.ts
+++ b/src/orders/load-pacer.ts
@@ -5,7 +5,7 @@
  */
 import type { Failure } from '../errors/index.js';
 import type { WeightStore } from '../ports/index.js';
-import type { Equipment } from './rows.js';
+import type { EngineSetup } from './rows.js';
 
 /** Wait before asking again where the store names no time. */
 const ASK_AGAIN_MS = 1_000;
@@ -15,7 +15,7 @@
   { kind: 'granted' } | { kind: 'later'; failure: Failure; askAgainMs: number };
 
 /** The tickets for the loads of one engine. */
-export interface LoadPace {
+export interface LoadPacer {
   /** Asks for what is still missing a ticket; tickets already granted are kept. */
   request(names: readonly string[]): Promise<PaceAnswer>;
   /** The load has been done; the next one needs tickets of its own. */
@@ -27,7 +27,7 @@
  *
  * @param store the weight store; loads are not paced when there is none
  */
-export function createLoadPace(store: WeightStore | undefined): LoadPace {
+export function createLoadPacer(store: WeightStore | undefined): LoadPacer {
   const granted = new Set<string>();
 
   return {
@@ -56,7 +56,7 @@
  * @param present what it is
  * @param wanted what it is to be
  */
-export function listLoads(present: Equipment, wanted: Equipment): string[] {
+export function listLoads(present: EngineSetup, wanted: EngineSetup): string[] {
   const loads: string[] = [];
   for (const name of wanted.models) {
     if (!present.models.includes(name)) loads.push(name);
--- a/src/orders/next-step.ts
+++ b/src/orders/next-step.ts
@@ -24,10 +24,10 @@
 import type { LeaseHolder } from '../lease/index.js';
 import type { EngineState } from '../ports/index.js';
 import {
-  isSameEquipment,
-  resolveEquipment,
+  isSameSetup,
+  resolveSetup,
   type EngineRow,
-  type Equipment,
+  type EngineSetup,
   type JournalledOrder,
 } from './rows.js';
 
@@ -42,7 +42,7 @@
   /** Whether every other lease that may have sent an order provably sends nothing any more. */
   othersCleared: boolean;
   /** What the engine should be; `undefined` when it should stay as it was last ordered. */
-  desired: Equipment | undefined;
+  desired: EngineSetup | undefined;
 }
 
 /**
@@ -55,8 +55,8 @@
   | { kind: 'none' | 'wait' | 'forget' }
   | { kind: 'settle'; order: JournalledOrder }
   | { kind: 'resend'; order: JournalledOrder; adopt: boolean }
-  | { kind: 'order'; wanted: Equipment; fence: number }
-  | { kind: 'withhold'; wanted: Equipment };
+  | { kind: 'order'; wanted: EngineSetup; fence: number }
+  | { kind: 'withhold'; wanted: EngineSetup };
 
 /**
  * Chooses the next step.
@@ -83,7 +83,7 @@
   if (target === undefined) return { kind: 'none' };
   const mayDiffer = checksFence || othersCleared;
   if (order !== null && hasRestarted(state, order)) {
-    const isSame = isSameEquipment(target, order.wanted);
+    const isSame = isSameSetup(target, order.wanted);
     if (isSame || !mayDiffer) return { kind: 'resend', order, adopt: true };
     return createOrder(view, target);
   }
@@ -97,9 +97,9 @@
 }
 
 /** An engine that carried its order out and is something else yet is not asked again and again. */
-function isObeyed(state: EngineState, order: JournalledOrder | null, target: Equipment): boolean {
-  if (isSameEquipment(resolveEquipment(state), target)) return true;
-  return state.lastOrderId === order?.id && isSameEquipment(order.wanted, target);
+function isObeyed(state: EngineState, order: JournalledOrder | null, target: EngineSetup): boolean {
+  if (isSameSetup(resolveSetup(state), target)) return true;
+  return state.lastOrderId === order?.id && isSameSetup(order.wanted, target);
 }
 
 function resolveForgetting(view: EngineView, order: JournalledOrder | null): NextStep {
@@ -109,7 +109,7 @@
   return { kind: isOther || row.formers.length > 0 ? 'forget' : 'none' };
 }
 
-function createOrder(view: EngineView, wanted: Equipment): NextStep {
+function createOrder(view: EngineView, wanted: EngineSetup): NextStep {
   const fence = Math.max(view.row.fence, view.state.fence) + 1;
   return { kind: 'order', wanted, fence };
 }
--- a/src/orders/rows.ts
+++ b/src/orders/rows.ts
@@ -8,7 +8,7 @@
 import { orderSchema, type EngineState, type Order } from '../ports/index.js';
 
 /** The role, models and adapters of an engine. */
-export type Equipment = Order['wanted'];
+export type EngineSetup = Order['wanted'];
 
 export const journalledOrderSchema = z.object({
   id: z.string(),
@@ -66,7 +66,7 @@
  * @param one a role with models and adapters
  * @param other another
  */
-export function isSameEquipment(one: Equipment, other: Equipment): boolean {
+export function isSameSetup(one: EngineSetup, other: EngineSetup): boolean {
   return (
     one.role === other.role &&
     isSameSet(one.models, other.models) &&
@@ -79,7 +79,7 @@
  *
  * @param state the engine's own word
  */
-export function resolveEquipment(state: EngineState): Equipment {
+export function resolveSetup(state: EngineState): EngineSetup {
   return { role: state.role, models: state.models, adapters: state.adapters };
 }
 
--- a/src/orders/shard-orders.ts
+++ b/src/orders/shard-orders.ts
@@ -11,12 +11,12 @@
 import type { HeldShard } from '../shards/index.js';
 import type { Clock } from '../task/index.js';
 import { createEngineOrders, type EngineOrders, type OrderTerms } from './engine-orders.js';
-import type { Formers } from './formers.js';
-import { resolveGroupEquipment } from './group-equipment.js';
-import { createIdleWait, type OrderTally } from './idle-wait.js';
+import type { FormerHolders } from './former-holders.js';
+import { resolveGroupSetup } from './group-setup.js';
+import { createDrain, type OrderTally } from './drain.js';
 import { createOrderJournal } from './journal.js';
-import { createLoadPace } from './load-pace.js';
-import type { Equipment } from './rows.js';
+import { createLoadPacer } from './load-pacer.js';
+import type { EngineSetup } from './rows.js';
 
 /** A new holder counts on its tally after this many periods in which routers tell their places. */
 const ADOPTION_PERIODS = 2;
@@ -28,7 +28,7 @@
   table: TableService;
   /** Loads are not paced when there is none. */
   weightStore: WeightStore | undefined;
-  formers: Pick<Formers, 'isCleared' | 'duringSending'>;
+  formers: Pick<FormerHolders, 'isCleared' | 'trackSend'>;
   tally: OrderTally;
   clock: Clock;
   log: Log;
@@ -57,7 +57,7 @@
    * Brings an engine into a state: drain, journal, send, settle. Settles when it took effect or was
    * given up, and then says why.
    */
-  change(server: string, wanted: Equipment): Promise<Result<void, Failure>>;
+  change(server: string, wanted: EngineSetup): Promise<Result<void, Failure>>;
   /** Engines of which a change is wanted or under way. */
   changing(): string[];
   /** Gives no further orders. */
@@ -77,7 +77,7 @@
 export function createShardOrders(parts: ShardOrdersParts): ShardOrders {
   const { clock, held } = parts;
   const journal = createOrderJournal(parts.table, held);
-  const tallyWholeAt = clock.now() + ADOPTION_PERIODS * parts.adoptEveryMs;
+  const tallyCompleteAt = clock.now() + ADOPTION_PERIODS * parts.adoptEveryMs;
   const ordered = new Map<string, Ordered>();
   const reconciled = new Set<string>();
 
@@ -91,8 +91,8 @@
         held,
         journal,
         formers: parts.formers,
-        idleWait: createIdleWait({ clock, engine, tally: parts.tally, tallyWholeAt }),
-        pace: createLoadPace(parts.weightStore),
+        drain: createDrain({ clock, engine, tally: parts.tally, tallyCompleteAt }),
+        pace: createLoadPacer(parts.weightStore),
         clock,
         log: parts.log,
         metrics: parts.metrics,
@@ -101,7 +101,7 @@
         checksFence: () => added.vm.checksFence,
         isLeaseValid: parts.isLeaseValid,
         completeByGroups: (wanted) => {
-          return resolveGroupEquipment(parts.groupsOf(added.vm), wanted) ?? wanted;
+          return resolveGroupSetup(parts.groupsOf(added.vm), wanted) ?? wanted;
         },
         wantedByGroups: (present) => wantedByGroups(added.vm, present),
         learned: parts.learned,
@@ -114,9 +114,9 @@
     return added;
   }
 
-  function wantedByGroups(vm: Vm, present: Equipment): Equipment | undefined {
+  function wantedByGroups(vm: Vm, present: EngineSetup): EngineSetup | undefined {
     const groups = parts.groupsOf(vm);
-    const wanted = resolveGroupEquipment(groups, present);
+    const wanted = resolveGroupSetup(groups, present);
     if (wanted === undefined) return undefined;
     if (!reconciled.has(vm.id) && countChanging() >= resolveMaxAtOnce(groups)) return undefined;
     reconciled.add(vm.id);
@@ -161,7 +161,7 @@
       }
     },
     updateEngine(state) {
-      ordered.get(state.id)?.orders.notice(state);
+      ordered.get(state.id)?.orders.updateState(state);
     },
     change(server, wanted) {
       const found = ordered.get(server);
--- a/src/planner/demand.ts
+++ b/src/planner/demand.ts
@@ -4,7 +4,7 @@
  */
 
 /** Tokens of one request. */
-export interface Asked {
+export interface RequestDemand {
   group: string;
   class: string;
   /** Prompt tokens that no engine had cached. */
@@ -21,7 +21,7 @@
 
 /** What was asked for lately. Times are milliseconds on one clock. */
 export interface DemandMeter {
-  add(asked: Asked, now: number): void;
+  add(asked: RequestDemand, now: number): void;
   /** Mean demand over the last whole seconds of `horizonMs`, or of what was seen, by class. */
   read(group: string, horizonMs: number, now: number): ClassDemand[];
 }
@@ -45,7 +45,7 @@
 export function createDemandMeter(startedAt: number): DemandMeter {
   const groups = new Map<string, Map<string, Slot[]>>();
 
-  function find(asked: Asked): Slot[] {
+  function find(asked: RequestDemand): Slot[] {
     const classes = groups.get(asked.group) ?? new Map<string, Slot[]>();
     groups.set(asked.group, classes);
     const slots = classes.get(asked.class) ?? [];
--- a/src/planner/plan.ts
+++ b/src/planner/plan.ts
@@ -44,7 +44,7 @@
   demand: Demand;
   rates: RoleRates;
   /** How long a role change takes an engine away, in milliseconds. */
-  awayMs: number;
+  downtimeMs: number;
 }
 
 /** One engine's new role. */
@@ -60,7 +60,7 @@
  * @param demand the demand
  * @param rates how fast one engine works
  */
-export function resolveServed(counts: RoleCounts, demand: Demand, rates: RoleRates): number {
+export function resolveServedShare(counts: RoleCounts, demand: Demand, rates: RoleRates): number {
   const workPerSecond = resolveWork(demand, rates);
   if (workPerSecond === 0) return Number.POSITIVE_INFINITY;
   const read = divide(counts.prefill * rates.promptTokensPerSecond, demand.promptTokensPerSecond);
--- a/src/planner/planners.ts
+++ b/src/planner/planners.ts
@@ -7,7 +7,7 @@
   countRoles,
   listRoleCounts,
   resolveNextChanges,
-  resolveServed,
+  resolveServedShare,
   resolveWork,
   type PlanInput,
   type RoleChange,
@@ -63,7 +63,7 @@
       const changes = countChanges(present, counts);
       if (changes === 0) continue;
       const gain = (resolveWorth(counts, input) - now) * this.#gainSeconds(changes, input);
-      const cost = changes * (input.awayMs / MS_PER_SECOND + this.#terms.changeCost);
+      const cost = changes * (input.downtimeMs / MS_PER_SECOND + this.#terms.changeCost);
       if (gain <= cost * HYSTERESIS || gain - cost <= bestNet) continue;
       best = counts;
       bestNet = gain - cost;
@@ -72,9 +72,9 @@
   }
 
   /** The gain begins when the changes are done, and they follow one another. */
-  #gainSeconds(changes: number, { awayMs }: PlanInput): number {
+  #gainSeconds(changes: number, { downtimeMs }: PlanInput): number {
     const rounds = Math.ceil(changes / this.#terms.maxAtOnce);
-    return Math.max(0, this.#terms.horizonMs - rounds * awayMs) / MS_PER_SECOND;
+    return Math.max(0, this.#terms.horizonMs - rounds * downtimeMs) / MS_PER_SECOND;
   }
 }
 
@@ -112,6 +112,6 @@
 
 /** Work served with these roles, in engines. What is beyond the demand and its headroom is worth nothing. */
 function resolveWorth(counts: RoleCounts, { demand, rates }: PlanInput): number {
-  const served = Math.min(1, resolveServed(counts, demand, rates) / HEADROOM);
+  const served = Math.min(1, resolveServedShare(counts, demand, rates) / HEADROOM);
   return served * resolveWork(demand, rates);
 }
--- a/src/planner/role-planning.ts
+++ b/src/planner/role-planning.ts
@@ -36,7 +36,7 @@
 /** Demand that an eager planner looks at. */
 const EAGER_HORIZON_MS = 2_000;
 /** Time that a role change takes until one was seen. */
-const ASSUMED_AWAY_MS = 3_000;
+const INITIAL_DOWNTIME_MS = 3_000;
 const NEWEST_WEIGHT = 0.3;
 const MS_PER_SECOND = 1_000;
 
@@ -50,7 +50,7 @@
   const changing = new Set<string>();
   const plannedAt = new Map<string, number>();
   const beganAt = clock.now();
-  let awayMs = ASSUMED_AWAY_MS;
+  let downtimeMs = INITIAL_DOWNTIME_MS;
   let timer: Timer | undefined;
 
   function step(): void {
@@ -96,7 +96,7 @@
       engines,
       demand: sumDemand(holder.demand(group.name, horizonMs)),
       rates: resolveRates(members, clock.now()),
-      awayMs,
+      downtimeMs,
     };
   }
 
@@ -111,7 +111,7 @@
       adapters: [...server.adapters],
     });
     changing.delete(change.engine);
-    if (changed.isOk()) awayMs += (clock.now() - startedAt - awayMs) * NEWEST_WEIGHT;
+    if (changed.isOk()) downtimeMs += (clock.now() - startedAt - downtimeMs) * NEWEST_WEIGHT;
   }
 
   return {
--- a/test/orders/interleavings.test.ts
+++ b/test/orders/interleavings.test.ts
@@ -61,7 +61,7 @@
 
 const trustAll = {
   isCleared: () => Promise.resolve(true),
-  duringSending: <Value>(_engine: string, send: () => Promise<Value>) => send(),
+  trackSend: <Value>(_engine: string, send: () => Promise<Value>) => send(),
 };
 
 /**
--- a/test/orders/orders.test.ts
+++ b/test/orders/orders.test.ts
@@ -232,7 +232,7 @@
     const { hold, engine, runUntil } = await leaveOrderOnItsWay(false);
     const formers = {
       isCleared: () => Promise.resolve(true),
-      duringSending: <Value>(_engine: string, send: () => Promise<Value>) => send(),
+      trackSend: <Value>(_engine: string, send: () => Promise<Value>) => send(),
     };
     const { orders } = await hold('b', { formers });
     (await runUntil(orders.change('engine-1', decode))).unwrap();
@@ -273,9 +273,9 @@
       const { a, b, advance, platform } = bench;
       const former = { holder: a.holder, fence: 1 };
       const listed = [createVm({ id: 'vm-a', kind: 'entry', address: a.holder.peer })];
-      b.formers.learnList(listed);
+      b.formers.updateVmList(listed);
       await advance(60_000);
-      b.formers.learnList([]);
+      b.formers.updateVmList([]);
       await advance(29_000);
       expect(await b.formers.isCleared('engine-1', former)).to.equal(false);
       await advance(2_000);
--- a/test/planner/planner.test.ts
+++ b/test/planner/planner.test.ts
@@ -6,7 +6,7 @@
   createDemandMeter,
   createRolePlanning,
   EagerPlanner,
-  resolveServed,
+  resolveServedShare,
   type Demand,
   type PlanInput,
   type PlannedEngine,
@@ -20,7 +20,7 @@
 
 const rates = { promptTokensPerSecond: 12_000, outputTokensPerSecond: 2_000, mixedEfficiency: 1 };
 const usualTerms: PlannerTerms = { changeCost: 5, horizonMs: 30_000, maxAtOnce: 1 };
-const AWAY_MS = 3_000;
+const DOWNTIME_MS = 3_000;
 
 function createEngines(roles: readonly Role[]): PlannedEngine[] {
   return roles.map((role, index) => ({
@@ -32,7 +32,7 @@
 }
 
 function createInput(roles: readonly Role[], demand: Demand, more: Partial<PlanInput> = {}) {
-  return { engines: createEngines(roles), demand, rates, awayMs: AWAY_MS, ...more };
+  return { engines: createEngines(roles), demand, rates, downtimeMs: DOWNTIME_MS, ...more };
 }
 
 /** Demand for so many engines' work, of which a share is reading prompts. */
@@ -66,7 +66,12 @@
     meter.add({ group: 'manuals', class: 'verdict', ...tokens }, now);
     if (now < horizonMs || now % 5_000 !== 0) continue;
     const [demand = createDemand(0, 0)] = meter.read('manuals', horizonMs, now);
-    for (const { engine, role } of planner.plan({ engines, demand, rates, awayMs: AWAY_MS })) {
+    for (const { engine, role } of planner.plan({
+      engines,
+      demand,
+      rates,
+      downtimeMs: DOWNTIME_MS,
+    })) {
       const changed = engines.find(({ id }) => id === engine);
       if (changed !== undefined) changed.role = role;
       changes += 1;
@@ -104,7 +109,7 @@
         for (const engine of engines.slice(0, changing)) engine.isChanging = true;
         const planner = new CostedPlanner({ ...usualTerms, maxAtOnce: 99 });
         const bounded = new CostedPlanner({ ...usualTerms, maxAtOnce });
-        const given = { engines, demand, rates, awayMs: AWAY_MS };
+        const given = { engines, demand, rates, downtimeMs: DOWNTIME_MS };
         const under = engines.filter(({ isChanging }) => isChanging).length;
         const begun = bounded.plan(given);
         expect(begun.length).to.be.at.most(Math.max(0, maxAtOnce - under));
@@ -117,8 +122,8 @@
           const changed = after.find(({ id }) => id === engine);
           if (changed !== undefined) changed.role = role;
         }
-        const before = resolveServed(countRoles(engines), demand, rates);
-        expect(resolveServed(countRoles(after), demand, rates)).to.be.at.least(before);
+        const before = resolveServedShare(countRoles(engines), demand, rates);
+        expect(resolveServedShare(countRoles(after), demand, rates)).to.be.at.least(before);
       }),
     );
   });
