--- a/src/orders/drain.ts
+++ b/src/orders/drain.ts
@@ -1,47 +1,47 @@
 /**
- * Keeps an engine free of new work and tells when nothing runs on it any more. Two accounts must
- * agree: the holder's tally has no permits out, and a load report that the engine made after it was
- * kept free says that nothing runs or waits, since routers that could not reach the holder may use
- * the engine directly, and a new holder does not yet know its predecessor's permits.
+ * Drains an engine: holds back new work and tells when the engine is idle. The holder must have no
+ * permits out, and a load report made after the drain began must show no running or waiting
+ * requests. The report is needed because routers that cannot reach the holder may use the engine
+ * directly, and because a new holder does not yet know its predecessor's permits.
  */
 import type { ModelEngine } from '../ports/index.js';
 import type { Clock } from '../task/index.js';
 
-/** The tally of a shard's holder, as orders use it. */
+/** The part of a shard holder's tally of permits that orders use. */
 export interface OrderTally {
-  /** Keeps an engine free of new work, or lets work in again. */
+  /** Holds back new work from an engine, or admits it again. */
   hold(engine: string, held: boolean): void;
   permitsOut(engine: string): number;
 }
 
-/** What waiting needs. */
+/** Dependencies of a drain. */
 export interface DrainParts {
   clock: Clock;
   engine: ModelEngine;
   tally: OrderTally;
-  /** From when the tally knows what earlier holders granted, on the clock. */
+  /** Time on the clock from which the tally includes permits granted by earlier holders. */
   tallyCompleteAt: number;
 }
 
-/** How far an engine is. `busy` until both accounts say that nothing runs. */
+/** `idle` only if the tally and the load report agree that nothing runs. */
 export type Idleness = 'idle' | 'busy';
 
-/** The wait for one engine. */
+/** The drain of one engine. */
 export interface Drain {
-  /** Keeps the engine free of new work from now on, if it is not kept free already. */
+  /** Begins to hold back new work, unless it is held back already. */
   begin(): void;
-  /** Lets work in again. */
+  /** Admits work again. */
   end(): void;
-  /** For how long the engine has been kept free, in milliseconds; 0 when it is not. */
+  /** Time since the drain began, in milliseconds; 0 if none is in progress. */
   heldForMs(): number;
   isHeld(): boolean;
   check(): Promise<Idleness>;
 }
 
 /**
- * Creates the wait for an engine, which takes work until `begin`.
+ * Creates the drain of an engine, which takes work until `begin`.
  *
- * @param parts the two accounts
+ * @param parts the engine and the tally
  */
 export function createDrain(parts: DrainParts): Drain {
   const { clock, engine, tally } = parts;
@@ -61,14 +61,14 @@
     heldForMs: () => (heldSince === undefined ? 0 : clock.now() - heldSince),
     isHeld: () => heldSince !== undefined,
     async check() {
-      const askedAt = clock.now();
-      if (heldSince === undefined || askedAt < parts.tallyCompleteAt) return 'busy';
+      const requestedAt = clock.now();
+      if (heldSince === undefined || requestedAt < parts.tallyCompleteAt) return 'busy';
       if (tally.permitsOut(engine.id) > 0) return 'busy';
       const report = await engine.load();
       if (report.isErr()) return 'busy';
       const { running, waiting, ageMs } = report.value;
-      // The report was made no earlier than its age before it was asked for.
-      const madeAfterHold = askedAt - ageMs >= heldSince;
+      // Counted from the request, not the answer: the earliest time at which the report can be made.
+      const madeAfterHold = requestedAt - ageMs >= heldSince;
       const isEmpty = running + waiting === 0 && tally.permitsOut(engine.id) === 0;
       return madeAfterHold && isEmpty ? 'idle' : 'busy';
     },
--- a/src/orders/engine-orders.ts
+++ b/src/orders/engine-orders.ts
@@ -1,12 +1,11 @@
 /**
- * The task that gives orders to one engine of a held shard. It looks at the journal and at the
- * engine, lets `resolveNextStep` choose, carries the one step out and looks again, until nothing is
- * left to do. Whatever was lost on the way (an answer of the table, an answer of the engine, the
- * engine itself) shows when it looks again.
+ * Reconciliation loop that sends orders to one engine of a held shard. Each iteration reads the
+ * journal and the engine's state, lets `resolveNextStep` chooseStep one step and carries it out, until
+ * nothing is left to do. A lost answer or a crashed engine is discovered by the next iteration.
  *
- * An order is sent only while the lease is valid, and its receipt is waited for no longer than half
- * of the time between the holder's and the taker's limit, so that it has ended before a successor
- * can begin, unless the process is paused in between; that case is what the journal is for.
+ * An order is sent only while the lease is valid. Its send timeout is half of the time between the
+ * holder's and the taker's lease limit, so that a send ends before a successor can start. The
+ * journal covers the case that the process is paused in between.
  */
 import { match } from 'ts-pattern';
 import { Err, Ok, type Result } from 'ts-results-es';
@@ -23,23 +22,23 @@
 import { resolveNextStep, type EngineView, type NextStep } from './next-step.js';
 import { resolveSetup, type EngineRow, type EngineSetup, type JournalledOrder } from './rows.js';
 
-const LOOK_EVERY_MS = 250;
-const WITHHELD_AGAIN_MS = 5_000;
-const JOURNAL_AGAIN_MS = 2_000;
-/** How often a proof is looked for that is needed for nothing yet. */
-const PROOF_EVERY_MS = 60_000;
+const POLL_INTERVAL_MS = 250;
+const WITHHELD_RETRY_MS = 5_000;
+const JOURNAL_RETRY_MS = 2_000;
+/** Interval of checking former holders while no step depends on the result. */
+const IDLE_PROOF_INTERVAL_MS = 60_000;
 
-/** Limits of giving orders, in milliseconds. */
+/** Time limits of orders, in milliseconds. */
 export interface OrderTerms {
-  /** How long an engine is kept free of new work at most before its change is given up. */
+  /** Longest drain before the change is given up. */
   drainMs: number;
-  /** How long after a change was given up it is tried again. */
+  /** Delay after which a change that was given up is tried again. */
   tryAgainMs: number;
-  /** How long the receipt of an order is waited for. */
+  /** Timeout of sending an order. */
   sendMs: number;
 }
 
-/** What giving orders to an engine needs. */
+/** Dependencies of an engine's orders. */
 export interface EngineOrdersParts {
   engine: ModelEngine;
   node: string;
@@ -53,140 +52,140 @@
   metrics: Metrics;
   terms: OrderTerms;
   createId(): string;
-  /** Whether the engine refuses old fencing numbers. */
+  /** Whether the engine refuses orders with an older fencing number. */
   checksFence(): boolean;
-  /** Whether the lease under which the shard is held may be relied on. */
+  /** Whether the lease under which the shard is held is valid. */
   isLeaseValid(): boolean;
-  /** A wanted state with what the engine's groups want besides, so that it is changed once. */
+  /** Adds the models and adapters of the engine's groups, so that one change covers both. */
   completeByGroups(wanted: EngineSetup): EngineSetup;
-  /** What the engine's groups want of it; `undefined` when it lacks nothing or has to wait. */
+  /** The setup that the engine's groups want; `undefined` if it lacks nothing or must wait. */
   wantedByGroups(present: EngineSetup): EngineSetup | undefined;
-  /** The engine's word after it carried an order out, for the tally. */
+  /** Called with the engine's state after it has carried out an order. */
   learned(state: EngineState): void;
-  /** Nothing is under way any more. */
+  /** Called when the loop stops: nothing is left to do, or the next step has to wait. */
   rested(): void;
 }
 
 /** The orders of one engine. */
 export interface EngineOrders {
-  /** Reads the journal; an engine whose last order may still be on its way gets no work until it is settled. */
+  /** Reads the journal. Drains the engine if its last order is outstanding. */
   start(): Promise<void>;
-  /** The engine answered a look at its state; a moment to see whether anything is to be done. */
+  /** Starts the loop, if necessary, with a state that the engine has reported. */
   updateState(state: EngineState): void;
-  /** Changes the engine; settles when the change took effect or was given up. */
+  /** Changes the engine's setup; resolves when the change took effect or was given up. */
   change(wanted: EngineSetup): Promise<Result<void, Failure>>;
-  /** Whether a change is wanted or under way. */
+  /** Whether a change is pending or in progress. */
   isChanging(): boolean;
-  /** Gives no further orders. */
+  /** Sends no further orders. An engine that is being drained stays so. */
   stop(): void;
 }
 
-/** A change that was asked for. */
-interface Aim {
+/** A requested change. */
+interface ChangeRequest {
   wanted: EngineSetup;
   answer(result: Result<void, Failure>): void;
 }
 
-/** One look at the engine and its journal. */
-interface Sight {
+/** The journal and the engine at one moment, and the step that follows from them. */
+interface Observation {
   entry: JournalEntry;
   state: EngineState;
-  aim: Aim | undefined;
+  change: ChangeRequest | undefined;
   step: NextStep;
 }
 
-/** Whether to look again soon, or to rest until the engine is next heard of. */
+/** Whether to poll again soon, or to stop until the engine's next state report. */
 type Progress = 'look-again' | 'rest';
 
 /**
  * Creates the orders of an engine.
  *
- * @param parts the engine, its journal and the limits
+ * @param parts the engine, its journal and the time limits
  */
 export function createEngineOrders(parts: EngineOrdersParts): EngineOrders {
   const { engine, held, journal, formers, drain, pace, clock, log, metrics, terms } = parts;
   const own = held.holder;
   let entry: JournalEntry | undefined;
-  let aim: Aim | undefined;
+  let requested: ChangeRequest | undefined;
   let running = false;
   let stopped = false;
   let notBefore = 0;
   let proofDueAt = 0;
   let withheldFence: number | undefined;
 
-  function kick(hint?: EngineState): void {
+  function wake(reported?: EngineState): void {
     if (running || stopped || clock.now() < notBefore) return;
     running = true;
-    void run(hint).finally(() => {
+    void run(reported).finally(() => {
       running = false;
     });
   }
 
-  async function run(hint: EngineState | undefined): Promise<void> {
-    if (hint !== undefined && (await isAtRest(hint))) return;
+  async function run(reported: EngineState | undefined): Promise<void> {
+    if (reported !== undefined && (await needsNothing(reported))) return;
     while (!stopped && clock.now() >= notBefore) {
       const progress = await advance();
       if (progress === 'rest') break;
-      await wait(clock, LOOK_EVERY_MS);
+      await wait(clock, POLL_INTERVAL_MS);
     }
     parts.rested();
   }
 
-  /** A state that someone else read is enough to see that nothing is to be done, and for no more. */
-  async function isAtRest(hint: EngineState): Promise<boolean> {
-    if (entry === undefined || hasAim() || drain.isHeld()) return false;
-    const sight = await see(hint);
-    return sight?.step.kind === 'none' && !hasAim();
+  /** A reported state may be outdated, so it only decides whether the loop has to run at all. */
+  async function needsNothing(reported: EngineState): Promise<boolean> {
+    if (entry === undefined || hasRequest() || drain.isHeld()) return false;
+    const observation = await observe(reported);
+    return observation?.step.kind === 'none' && !hasRequest();
   }
 
   function isOutstanding(): boolean {
     return entry?.row.order?.state === 'outstanding';
   }
 
-  function hasAim(): boolean {
-    return aim !== undefined;
+  function hasRequest(): boolean {
+    return requested !== undefined;
   }
 
   async function advance(): Promise<Progress> {
-    if (!parts.isLeaseValid()) return restWithoutLease();
+    if (!parts.isLeaseValid()) return handleInvalidLease();
     const state = await engine.state();
-    if (state.isErr()) return endureSilence(state.error);
-    const sight = await see(state.value);
-    if (sight === undefined || stopped) return 'rest';
-    return carryOut(sight);
+    if (state.isErr()) return handleUnreachable(state.error);
+    const observation = await observe(state.value);
+    if (observation === undefined || stopped) return 'rest';
+    return carryOut(observation);
   }
 
-  /** Work is let in, unless an order that was sent may be about to reach the engine. */
-  function restWithoutLease(): Progress {
+  /** Ends the drain, unless an outstanding order may still reach the engine. */
+  function handleInvalidLease(): Progress {
     if (!isOutstanding() || drain.heldForMs() >= terms.drainMs) drain.end();
     return 'rest';
   }
 
-  function endureSilence(failure: Failure): Progress {
+  function handleUnreachable(failure: Failure): Progress {
     if (drain.isHeld() && drain.heldForMs() <= terms.drainMs) return 'look-again';
     drain.end();
-    finish(aim, Err(failure));
+    finish(requested, Err(failure));
     return 'rest';
   }
 
-  async function see(state: EngineState): Promise<Sight | undefined> {
+  async function observe(state: EngineState): Promise<Observation | undefined> {
     const known = entry ?? (await read());
     if (known === undefined) return undefined;
-    const seenAim = aim;
+    const change = requested;
     const { row } = known;
-    const step = await choose({
+    const step = await chooseStep({
       row,
       state,
       own,
       checksFence: parts.checksFence(),
       othersCleared: listOthers(row, own).length === 0,
-      desired: resolveDesired(seenAim, row, state),
+      desired: resolveDesired(change, row, state),
     });
-    return { entry: known, state, aim: seenAim, step };
+    return { entry: known, state, change, step };
   }
 
-  /** Proofs cost reads of the table, so they are looked for only where they change the step. */
-  async function choose(view: EngineView): Promise<NextStep> {
+  /** Checking former holders reads the table, so it is done only where it may change the step. */
+  async function chooseStep(view: EngineView): Promise<NextStep> {
     const step = resolveNextStep(view);
     if (view.checksFence || view.othersCleared || !isProofDue(step)) return step;
     const othersCleared = await areOthersCleared(formers, engine.id, view.row, own);
@@ -197,16 +196,16 @@
     if (step.kind === 'withhold') return true;
     if (step.kind === 'resend') return step.order.state === 'settled';
     if (step.kind !== 'none' || clock.now() < proofDueAt) return false;
-    proofDueAt = clock.now() + PROOF_EVERY_MS;
+    proofDueAt = clock.now() + IDLE_PROOF_INTERVAL_MS;
     return true;
   }
 
   function resolveDesired(
-    seenAim: Aim | undefined,
+    change: ChangeRequest | undefined,
     row: EngineRow,
     state: EngineState,
   ): EngineSetup | undefined {
-    if (seenAim !== undefined) return parts.completeByGroups(seenAim.wanted);
+    if (change !== undefined) return parts.completeByGroups(change.wanted);
     return parts.wantedByGroups(row.order?.wanted ?? resolveSetup(state));
   }
 
@@ -214,82 +213,94 @@
     const found = await journal.read(engine.id);
     if (found.isErr()) {
       log.write('orderUnjournalled', { server: engine.id, failure: found.error });
-      pause(JOURNAL_AGAIN_MS);
+      pause(JOURNAL_RETRY_MS);
       return undefined;
     }
     entry = found.value;
     return entry;
   }
 
-  /** Lets work in and tries nothing for a while. */
+  /** Ends the drain and makes no attempt for a while. */
   function pause(delayMs: number): void {
     drain.end();
     notBefore = clock.now() + delayMs;
   }
 
-  function carryOut(sight: Sight): Progress | Promise<Progress> {
-    if (sight.state.leaving) return leave(sight);
-    return match(sight.step)
-      .with({ kind: 'none' }, () => rest(sight))
+  function carryOut(observation: Observation): Progress | Promise<Progress> {
+    if (observation.state.leaving) return leave(observation);
+    return match(observation.step)
+      .with({ kind: 'none' }, () => rest(observation))
       .with({ kind: 'wait' }, (): Progress => 'look-again')
-      .with({ kind: 'forget' }, () => forget(sight))
-      .with({ kind: 'settle' }, ({ order }) => settle(sight, order))
-      .with({ kind: 'resend' }, ({ order, adopt }) => resend(sight, order, adopt))
-      .with({ kind: 'order' }, ({ wanted, fence }) => giveNew(sight, wanted, fence))
-      .with({ kind: 'withhold' }, () => withhold(sight))
+      .with({ kind: 'forget' }, () => forget(observation))
+      .with({ kind: 'settle' }, ({ order }) => settle(observation, order))
+      .with({ kind: 'resend' }, ({ order, adopt }) => resend(observation, order, adopt))
+      .with({ kind: 'order' }, ({ wanted, fence }) => sendNew(observation, wanted, fence))
+      .with({ kind: 'withhold' }, () => withhold(observation))
       .exhaustive();
   }
 
-  function rest(sight: Sight): Progress {
+  function rest(observation: Observation): Progress {
     pace.reset();
     drain.end();
-    finish(sight.aim, Ok(undefined));
-    return aim === undefined ? 'rest' : 'look-again';
+    finish(observation.change, Ok(undefined));
+    return requested === undefined ? 'rest' : 'look-again';
   }
 
-  /** An engine that leaves needs nothing any more. */
-  function leave(sight: Sight): Progress {
+  /** A leaving engine gets no further orders. */
+  function leave(observation: Observation): Progress {
     drain.end();
-    const message = 'the engine said that it leaves';
-    finish(sight.aim, Err(refuse('leaving', 'order.send', message)));
+    const message = 'the engine is leaving';
+    finish(observation.change, Err(refuse('leaving', 'order.send', message)));
     return 'rest';
   }
 
-  async function forget({ entry: known }: Sight): Promise<Progress> {
+  async function forget({ entry: known }: Observation): Promise<Progress> {
     const { row } = known;
     const order = row.order === null ? null : { ...row.order, by: null };
     return (await write(known, { ...row, order, formers: [] }))
       ? 'look-again'
-      : progressAfterLoss();
+      : progressAfterFailedWrite();
   }
 
-  async function settle(sight: Sight, order: JournalledOrder): Promise<Progress> {
-    const { row } = sight.entry;
-    const { incarnation } = sight.state;
+  async function settle(observation: Observation, order: JournalledOrder): Promise<Progress> {
+    const { row } = observation.entry;
+    const { incarnation } = observation.state;
     const settled: JournalledOrder = { ...order, state: 'settled', incarnation };
     const remaining = parts.checksFence() ? [] : row.formers;
-    const isWritten = await write(sight.entry, { ...row, order: settled, formers: remaining });
-    if (!isWritten) return progressAfterLoss();
+    const isWritten = await write(observation.entry, {
+      ...row,
+      order: settled,
+      formers: remaining,
+    });
+    if (!isWritten) return progressAfterFailedWrite();
     pace.reset();
-    parts.learned(sight.state);
+    parts.learned(observation.state);
     log.write('orderSettled', describe(order));
     metrics.orders.inc({ outcome: 'settled' });
     return 'look-again';
   }
 
-  async function resend(sight: Sight, order: JournalledOrder, adopt: boolean): Promise<Progress> {
-    const prepared = await prepare(sight, order.wanted);
+  async function resend(
+    observation: Observation,
+    order: JournalledOrder,
+    adopt: boolean,
+  ): Promise<Progress> {
+    const prepared = await prepare(observation, order.wanted);
     if (prepared !== 'ready') return prepared;
     if (!adopt) return send(order);
-    const { row } = sight.entry;
+    const { row } = observation.entry;
     const adopted: JournalledOrder = { ...order, by: own, state: 'outstanding', incarnation: null };
     const next: EngineRow = { ...row, order: adopted, formers: listOthers(row, own) };
-    if (!(await write(sight.entry, next))) return progressAfterLoss();
+    if (!(await write(observation.entry, next))) return progressAfterFailedWrite();
     return send(adopted);
   }
 
-  async function giveNew(sight: Sight, wanted: EngineSetup, fence: number): Promise<Progress> {
-    const prepared = await prepare(sight, wanted);
+  async function sendNew(
+    observation: Observation,
+    wanted: EngineSetup,
+    fence: number,
+  ): Promise<Progress> {
+    const prepared = await prepare(observation, wanted);
     if (prepared !== 'ready') return prepared;
     const order: JournalledOrder = {
       id: parts.createId(),
@@ -299,18 +310,19 @@
       state: 'outstanding',
       incarnation: null,
     };
-    if (!(await write(sight.entry, { fence, order, formers: [] }))) return progressAfterLoss();
+    if (!(await write(observation.entry, { fence, order, formers: [] })))
+      return progressAfterFailedWrite();
     log.write('orderJournalled', describe(order));
     return send(order);
   }
 
-  /** Sees to the tickets for what the engine would load, then to its being idle. */
-  async function prepare({ state }: Sight, wanted: EngineSetup): Promise<Progress | 'ready'> {
-    const paced = await pace.request(listLoads(resolveSetup(state), wanted));
-    if (paced.kind === 'later') {
-      log.write('loadPaced', { server: engine.id, failure: paced.failure });
-      if (drain.heldForMs() >= terms.drainMs) return giveUp();
-      notBefore = clock.now() + paced.askAgainMs;
+  /** Acquires the tickets for what the engine has to load, then drains the engine. */
+  async function prepare({ state }: Observation, wanted: EngineSetup): Promise<Progress | 'ready'> {
+    const tickets = await pace.request(listLoads(resolveSetup(state), wanted));
+    if (tickets.kind === 'later') {
+      log.write('loadPaced', { server: engine.id, failure: tickets.failure });
+      if (drain.heldForMs() >= terms.drainMs) return abandonChange();
+      notBefore = clock.now() + tickets.askAgainMs;
       return 'rest';
     }
     if (!drain.isHeld()) {
@@ -322,16 +334,16 @@
       return stopped ? 'rest' : 'ready';
     }
     if (drain.heldForMs() < terms.drainMs) return 'look-again';
-    return giveUp();
+    return abandonChange();
   }
 
-  /** Work is never cut for a change: the change waits for another time. */
-  function giveUp(): Progress {
+  /** Running work is never cut for a change: the change is tried again later. */
+  function abandonChange(): Progress {
     log.write('drainGivenUp', { server: engine.id });
     metrics.orders.inc({ outcome: 'given-up' });
     pause(terms.tryAgainMs);
     finish(
-      aim,
+      requested,
       Err(refuse('drain-pending', 'drain.wait', 'the engine did not become idle in time')),
     );
     return 'rest';
@@ -358,21 +370,21 @@
     return 'look-again';
   }
 
-  function withhold(sight: Sight): Progress {
-    const { row } = sight.entry;
+  function withhold(observation: Observation): Progress {
+    const { row } = observation.entry;
     if (withheldFence !== row.fence) {
       withheldFence = row.fence;
       const others = listOthers(row, own).map(({ holder }) => holder.node);
       log.write('ordersWithheld', { server: engine.id, fence: row.fence, formers: others });
       metrics.orders.inc({ outcome: 'withheld' });
     }
-    pause(WITHHELD_AGAIN_MS);
-    const message = 'a former holder may still order this engine';
-    finish(sight.aim, Err(refuse('order-refused', 'order.journal', message)));
+    pause(WITHHELD_RETRY_MS);
+    const message = 'a former holder may still send orders to this engine';
+    finish(observation.change, Err(refuse('order-refused', 'order.journal', message)));
     return 'rest';
   }
 
-  /** @returns whether the row is certainly as given; otherwise it is read again. */
+  /** @returns whether the row was certainly written; otherwise it is read again. */
   async function write(known: JournalEntry, next: EngineRow): Promise<boolean> {
     const outcome = await journal.write(engine.id, known, next);
     entry = outcome.kind === 'written' ? outcome.entry : undefined;
@@ -380,17 +392,17 @@
     if (outcome.kind === 'unavailable' || outcome.kind === 'unknown') {
       log.write('orderUnjournalled', { server: engine.id, failure: outcome.failure });
     }
-    if (outcome.kind === 'unavailable') pause(JOURNAL_AGAIN_MS);
+    if (outcome.kind === 'unavailable') pause(JOURNAL_RETRY_MS);
     return outcome.kind === 'written';
   }
 
-  function progressAfterLoss(): Progress {
+  function progressAfterFailedWrite(): Progress {
     return stopped || clock.now() < notBefore ? 'rest' : 'look-again';
   }
 
-  function finish(finished: Aim | undefined, result: Result<void, Failure>): void {
-    if (finished === undefined || finished !== aim) return;
-    aim = undefined;
+  function finish(finished: ChangeRequest | undefined, result: Result<void, Failure>): void {
+    if (finished === undefined || finished !== requested) return;
+    requested = undefined;
     finished.answer(result);
   }
 
@@ -402,10 +414,13 @@
     return { server: engine.id, orderId: order.id, fence: order.fence, wanted: order.wanted };
   }
 
-  /** An engine that is kept free stays so: its order may still be on its way. */
+  /** Does not end the drain: an order may still reach the engine. */
   function stop(): void {
     stopped = true;
-    finish(aim, Err(refuse('lease-lost', 'order.journal', 'the shard is not held here any more')));
+    finish(
+      requested,
+      Err(refuse('lease-lost', 'order.journal', 'this node no longer holds the shard')),
+    );
   }
 
   return {
@@ -413,22 +428,22 @@
       await read();
       if (!stopped && isOutstanding()) drain.begin();
     },
-    updateState: kick,
+    updateState: wake,
     change(wanted) {
       if (stopped) {
-        const message = 'the shard is not held here any more';
+        const message = 'this node no longer holds the shard';
         return Promise.resolve(Err(refuse('lease-lost', 'order.journal', message)));
       }
-      if (aim !== undefined) {
-        const message = 'another change of the engine is under way';
+      if (requested !== undefined) {
+        const message = 'another change of the engine is in progress';
         return Promise.resolve(Err(refuse('in-progress', 'order.journal', message)));
       }
       return new Promise((answer) => {
-        aim = { wanted, answer };
-        kick();
+        requested = { wanted, answer };
+        wake();
       });
     },
-    isChanging: () => hasAim() || drain.isHeld() || (running && isOutstanding()),
+    isChanging: () => hasRequest() || drain.isHeld() || (running && isOutstanding()),
     stop,
   };
 }
--- a/src/orders/former-holders.ts
+++ b/src/orders/former-holders.ts
@@ -1,17 +1,17 @@
 /**
- * Proof that a former holder can send no order any more. A lease that is over proves nothing: its
- * holder may be paused between its check and its write. What proves it:
+ * Proves that a former holder can no longer send orders. An expired lease is no proof: its holder
+ * may be paused between the check of its lease and its write. Proofs are:
  *
- * - it is this very process, and no sending of it is under way;
- * - it gave the shard or its lease back, which it does only after its sendings have ended;
- * - a newer process under its name holds a lease from the same peer address, where only one process
- *   can listen, so the older one has ended;
- * - its VM was listed, and a list read at least the list's lag after that has it no more;
- * - an operator said so, up to a fencing number.
+ * - the holder is this process, and it has no send in flight;
+ * - the holder released the shard or its lease, which it does only after its sends have ended;
+ * - a newer process under its name holds a lease from the same peer address, at which only one
+ *   process can listen, so the older one has exited;
+ * - its VM was listed, and a list read at least the list's lag later no longer contains it;
+ * - an operator confirmed it, up to a fencing number.
  *
- * Bytes that such a process sent before it ended may still lie in the engine's own buffers. They
- * hold an order that was journalled, and its successor has seen the engine take that order by its id
- * before it gives another, so the copy changes nothing; a restart of the engine discards them.
+ * Bytes that such a process sent before it exited may remain in the engine's receive buffers. They
+ * hold a journalled order, and the successor sends a different one only after the engine has taken
+ * that order, known by its id. So the copy changes nothing; a restart of the engine discards it.
  */
 import type { LeaseHolder, NodeRow } from '../lease/index.js';
 import type { Vm, VmList } from '../ports/index.js';
@@ -19,52 +19,52 @@
 import type { EngineRow, FormerHolder } from './rows.js';
 
 const WILDCARD_HOSTS = new Set(['0.0.0.0', '[::]', '::', '']);
-/** VMs that were listed so long ago are forgotten. */
-const VM_KEPT_MS = 86_400_000;
+/** Retention of the time at which a VM was last listed. */
+const VM_RETENTION_MS = 86_400_000;
 
-/** What proofs rest on. */
+/** Dependencies of the proofs about former holders. */
 export interface FormerHoldersParts {
   clock: Clock;
   /** This process's incarnation. */
   incarnation: string;
-  /** How old the platform's list may be when it is read, in milliseconds. */
+  /** Greatest age of the platform's VM list when it is read, in milliseconds. */
   listLagMs: number;
   vmList: VmList;
-  /** The lease row of a node; `undefined` when it cannot be read or is absent. */
+  /** The lease row of a node; `undefined` if absent or unreadable. */
   readNodeRow(node: string): Promise<NodeRow | undefined>;
-  /** Up to which fencing number an operator settled an engine's orders; 0 when never. */
+  /** Highest fencing number up to which an operator settled an engine's orders; 0 for none. */
   ordersSettled(engine: string): number;
 }
 
-/** Knows which former holders can send nothing any more. */
+/** Tells which former holders can no longer send orders. */
 export interface FormerHolders {
-  /** The platform's list changed; until now it was as last told. */
+  /** Replaces the VM list; the previous one counts as current until now. */
   updateVmList(vms: readonly Vm[]): void;
-  /** A holder gave a shard back. */
+  /** A holder released a shard. */
   releaseReceived(holder: LeaseHolder): void;
-  /** Runs a sending of this process, and counts it as under way until it has ended. */
+  /** Runs a send of this process and counts it as in flight until it has ended. */
   trackSend<Value>(engine: string, send: () => Promise<Value>): Promise<Value>;
-  /** Resolves once no sending of this process is under way. */
+  /** Resolves once the sends that are in flight now have ended. */
   waitForSends(): Promise<void>;
-  /** Whether a holder provably sends no order to an engine any more. */
+  /** Whether a holder provably can no longer send orders to an engine. */
   isCleared(engine: string, former: FormerHolder): Promise<boolean>;
 }
 
 /**
  * Creates the proofs of one process.
  *
- * @param parts what they rest on
+ * @param parts the process, the platform's list and the lease rows
  */
 export function createFormerHolders(parts: FormerHoldersParts): FormerHolders {
   const { clock } = parts;
-  const sendings = new Map<Promise<unknown>, string>();
+  const sends = new Map<Promise<unknown>, string>();
   const released = new Set<string>();
   const lastListed = new Map<string, number>();
   let listedNow = new Set<string>();
 
   function isSending(engine: string): boolean {
-    for (const sending of sendings.values()) {
-      if (sending === engine) return true;
+    for (const receiver of sends.values()) {
+      if (receiver === engine) return true;
     }
     return false;
   }
@@ -77,9 +77,9 @@
     return read.isOk() && !listEntryAddresses(read.value).has(peer);
   }
 
-  function forgetOldVms(now: number): void {
+  function evictOldVms(now: number): void {
     for (const [address, seenAt] of lastListed) {
-      if (now - seenAt > VM_KEPT_MS) lastListed.delete(address);
+      if (now - seenAt > VM_RETENTION_MS) lastListed.delete(address);
     }
   }
 
@@ -91,22 +91,22 @@
         lastListed.set(address, now);
       }
       listedNow = listed;
-      forgetOldVms(now);
+      evictOldVms(now);
     },
     releaseReceived(holder) {
       released.add(holder.leaseId);
     },
     async trackSend(engine, send) {
-      const sending = send();
-      sendings.set(sending, engine);
+      const sent = send();
+      sends.set(sent, engine);
       try {
-        return await sending;
+        return await sent;
       } finally {
-        sendings.delete(sending);
+        sends.delete(sent);
       }
     },
     async waitForSends() {
-      await Promise.allSettled([...sendings.keys()]);
+      await Promise.allSettled([...sends.keys()]);
     },
     async isCleared(engine, { holder, fence }) {
       if (parts.ordersSettled(engine) >= fence) return true;
@@ -128,10 +128,10 @@
 }
 
 /**
- * Whether a node's row proves that a former holder under its name sends nothing any more.
+ * Whether a node's row proves that a former holder under its name can no longer send orders.
  *
- * @param row the node's row as it is now
- * @param former the holder in question
+ * @param row the node's present row
+ * @param former the former holder
  */
 export function provesTermination(row: NodeRow, former: LeaseHolder): boolean {
   const { holder, state } = row;
@@ -139,7 +139,7 @@
   return holder.peer === former.peer && isExclusive(former.peer);
 }
 
-/** Whether only one process at a time can listen at an address: it names one host and one port. */
+/** Whether an address names one host and one port, at which only one process can listen. */
 function isExclusive(address: string): boolean {
   const separator = address.lastIndexOf(':');
   const host = address.slice(0, separator);
@@ -148,7 +148,7 @@
 }
 
 /**
- * Whether all other leases that may have sent an engine an order are cleared.
+ * Whether every other holder that may have sent the engine an order can no longer do so.
  *
  * @param formers the proofs
  * @param engine the engine's id
@@ -168,7 +168,7 @@
 }
 
 /**
- * The leases other than one's own under which an engine may have been sent an order.
+ * Lists the holders, other than the own lease, that may have sent the engine an order.
  *
  * @param row the engine's journal
  * @param own the lease under which this process holds the engine's shard
--- a/src/orders/group-setup.ts
+++ b/src/orders/group-setup.ts
@@ -1,18 +1,18 @@
 /**
- * What the engine groups of the configuration ask of an engine: the model and adapters of every
- * group that it belongs to. An engine that has them all is left alone, whatever else it holds, since
- * unloading takes it away for seconds and gains its groups nothing.
+ * The setup that engine groups want of an engine: the model and adapters of every group that it
+ * belongs to. An engine that has them all is not changed, even if it holds more: unloading makes it
+ * unavailable for seconds and gains its groups nothing.
  */
 import type { EngineGroup } from '../configuration/index.js';
 import type { EngineSetup } from './rows.js';
 
 /**
- * The state that an engine's groups want it in.
+ * Resolves the setup that an engine's groups want.
  *
  * @param groups the groups that it belongs to
- * @param present what it is, or was last ordered to be
- * @returns `undefined` when it lacks nothing; otherwise its present role, with the models and
- *   adapters of its groups and no others
+ * @param present its present or last ordered setup
+ * @returns `undefined` if it lacks nothing; otherwise its present role with the models and
+ *   adapters of its groups only; the present models if no group names one
  */
 export function resolveGroupSetup(
   groups: readonly EngineGroup[],
--- a/src/orders/index.ts
+++ b/src/orders/index.ts
@@ -1,4 +1,4 @@
-/** Orders to engines: journalled, fenced and given only while nothing runs. */
+/** Orders to engines: journalled, fenced and sent only while the engine is idle. */
 export * from './engine-orders.js';
 export * from './former-holders.js';
 export * from './group-setup.js';
--- a/src/orders/journal.ts
+++ b/src/orders/journal.ts
@@ -1,7 +1,7 @@
 /**
- * The journal of orders. Every write is one transaction on condition of the engine's row as it was
- * read and of the shard's row as it was when the shard was taken, so that nothing is journalled by
- * a node after another one took the shard.
+ * The journal of orders. Every write is one transaction, conditional on the revision at which the
+ * engine's row was read and on that at which the shard was taken, so that a node cannot write to the
+ * journal after another one has taken the shard.
  */
 import { match } from 'ts-pattern';
 import { Err, Ok, type Result } from 'ts-results-es';
@@ -17,10 +17,10 @@
 }
 
 /**
- * What became of a write. `superseded`: another node took the shard. `stale`: the engine's row is
- * not as it was read. `unavailable` and `unknown`: as the table said; the row is read again, and
- * what it says then is true, because a write that lands later finds its conditions broken or is
- * found by the next read.
+ * Outcome of a write. `superseded`: another node took the shard. `stale`: the engine's row has
+ * changed since it was read. `unavailable` and `unknown` are the table's outcomes: the row is read
+ * again. That read is safe, because a write that lands after it fails its conditions or is found by
+ * the next read.
  */
 export type JournalOutcome =
   | { kind: 'written'; entry: JournalEntry }
@@ -31,7 +31,7 @@
 export interface OrderJournal {
   /** Reads an engine's row; an absent one is empty with revision 0. */
   read(engine: string): Promise<Result<JournalEntry, Failure>>;
-  /** Replaces an engine's row if it and the shard are still as known. */
+  /** Replaces an engine's row if neither it nor the shard's row has changed. */
   write(engine: string, known: JournalEntry, next: EngineRow): Promise<JournalOutcome>;
 }
 
@@ -39,7 +39,7 @@
  * Creates the journal under a held shard.
  *
  * @param table the table service
- * @param held the shard under whose holding is written
+ * @param held the held shard
  */
 export function createOrderJournal(table: TableService, held: HeldShard): OrderJournal {
   const shardKey = shardRowKey(held.name);
@@ -70,13 +70,13 @@
         .with({ kind: 'conflict' }, ({ conflicts }): JournalOutcome => {
           return { kind: conflicts.includes(shardKey) ? 'superseded' : 'stale' };
         })
-        .with({ kind: 'unavailable' }, { kind: 'unknown' }, (lost) => lost)
+        .with({ kind: 'unavailable' }, { kind: 'unknown' }, (failed) => failed)
         .exhaustive();
     },
   };
 }
 
-/** A row that cannot be read is never overwritten: it may hold an order. */
+/** An unreadable row is never overwritten: it may hold an outstanding order. */
 function describeUnreadable(engine: string): Failure {
   return createRefusal({
     code: 'internal',
--- a/src/orders/load-pacer.ts
+++ b/src/orders/load-pacer.ts
@@ -1,31 +1,31 @@
 /**
- * Paces loads by the weight store: an order that makes an engine load something is given only after
- * the store granted a ticket for each thing to load. Tickets are asked for before the engine is kept
- * free of work, so that no engine idles in a queue for weights.
+ * Rate-limits loads by tickets of the weight store: an order is sent only after the store has
+ * granted a ticket for each model and adapter to load. Tickets are requested before the engine is
+ * drained, so that no engine idles while it waits for weights.
  */
 import type { Failure } from '../errors/index.js';
 import type { WeightStore } from '../ports/index.js';
 import type { EngineSetup } from './rows.js';
 
-/** Wait before asking again where the store names no time. */
-const ASK_AGAIN_MS = 1_000;
+/** Retry delay where the store names none. */
+const DEFAULT_RETRY_MS = 1_000;
 
-/** Whether a load may begin. `askAgainMs` is how long to wait before asking again. */
+/** Whether a load may begin. `askAgainMs` is the retry delay. */
 export type PaceAnswer =
   { kind: 'granted' } | { kind: 'later'; failure: Failure; askAgainMs: number };
 
 /** The tickets for the loads of one engine. */
 export interface LoadPacer {
-  /** Asks for what is still missing a ticket; tickets already granted are kept. */
+  /** Requests the tickets that are missing; those already granted are kept. */
   request(names: readonly string[]): Promise<PaceAnswer>;
-  /** The load has been done; the next one needs tickets of its own. */
+  /** Discards the granted tickets, after the load. */
   reset(): void;
 }
 
 /**
- * Creates the tickets of one engine, none of them granted.
+ * Creates the pacer of one engine, without any ticket.
  *
- * @param store the weight store; loads are not paced when there is none
+ * @param store the weight store; loads are not paced without one
  */
 export function createLoadPacer(store: WeightStore | undefined): LoadPacer {
   const granted = new Set<string>();
@@ -38,7 +38,7 @@
         const ticket = await store.requestTicket(name);
         if (ticket.isErr()) {
           const failure = ticket.error;
-          return { kind: 'later', failure, askAgainMs: failure.retryAfterMs ?? ASK_AGAIN_MS };
+          return { kind: 'later', failure, askAgainMs: failure.retryAfterMs ?? DEFAULT_RETRY_MS };
         }
         granted.add(name);
       }
@@ -51,10 +51,10 @@
 }
 
 /**
- * What an engine would have to load to come to a state.
+ * Lists the models and adapters that an engine has to load for a setup.
  *
- * @param present what it is
- * @param wanted what it is to be
+ * @param present its present setup
+ * @param wanted the wanted setup
  */
 export function listLoads(present: EngineSetup, wanted: EngineSetup): string[] {
   const loads: string[] = [];
--- a/src/orders/next-step.ts
+++ b/src/orders/next-step.ts
@@ -1,25 +1,24 @@
 /**
- * Decides what the holder of a shard does next about the orders of one engine. Pure: it sees the
- * journal, the engine's own word and what is wanted, and names one step. The task around it carries
- * the step out and asks again, so that a holder which starts anew, finds an order half given or lost
- * an answer goes on from what the journal and the engine say and from nothing that it remembers.
+ * Decides the next step for the orders of one engine. A pure function of the journal, the engine's
+ * reported state and the desired setup. The caller carries the step out and decides again, so that
+ * recovery after a restart, a half-sent order or a lost answer needs no memory beyond the journal
+ * and the engine.
  *
  * Four rules keep an engine from receiving conflicting orders:
  *
- * 1. At most one order is outstanding. A different one follows only when the engine was seen to
- *    have carried out the one before.
- * 2. An outstanding order of another lease is finished as it is: the same id, number and state. A
- *    late copy by its first sender is then the same order, which the engine knows by its id.
- * 3. A different order goes to an engine that checks numbers at once, under a higher number, so
- *    that late copies of older ones are refused. To an engine that ignores them it goes only when
- *    every former holder provably sends nothing any more.
- * 4. An engine that restarted has forgotten ids and perhaps numbers. It is given the journalled
- *    order again, as it is.
+ * 1. At most one order is outstanding. A different one follows only after the engine has been
+ *    observed to have carried out the one before.
+ * 2. An outstanding order of another lease is completed unchanged: same id, fencing number and
+ *    setup. A late copy by its first sender is then a duplicate, which the engine knows by its id.
+ * 3. An engine that checks fencing numbers gets a different order at once, under a higher number, so
+ *    that it refuses late copies of older ones. An engine that ignores them gets it only after
+ *    every former holder provably can no longer send.
+ * 4. An engine that restarted has lost its ids and perhaps its number. It is sent the journalled
+ *    order again, unchanged.
  *
- * Superseding an outstanding order by a new one under a higher number was weighed for engines that
- * check: it needs a second order for the same state, and gains nothing, since the copy that it
- * would have refused asks for the same state. It is done only where the engine has seen a higher
- * number than the journal's and so refuses the journalled order.
+ * An outstanding order is not superseded by a new one under a higher number, since a late copy of
+ * it asks for the same setup. The exception is an engine that has seen a higher number than the
+ * journal's and therefore refuses the journalled order.
  */
 import type { LeaseHolder } from '../lease/index.js';
 import type { EngineState } from '../ports/index.js';
@@ -31,25 +30,25 @@
   type JournalledOrder,
 } from './rows.js';
 
-/** What the decision depends on. */
+/** Input of the decision. */
 export interface EngineView {
   row: EngineRow;
   state: EngineState;
-  /** The lease under which orders would be given. */
+  /** The lease under which orders are sent. */
   own: LeaseHolder;
-  /** Whether the engine refuses old numbers; stated, never guessed. */
+  /** Whether the engine refuses old fencing numbers; as its VM declares, never guessed. */
   checksFence: boolean;
-  /** Whether every other lease that may have sent an order provably sends nothing any more. */
+  /** Whether every other holder that may have sent an order provably can no longer send. */
   othersCleared: boolean;
-  /** What the engine should be; `undefined` when it should stay as it was last ordered. */
+  /** The wanted setup; `undefined` to keep the last ordered one. */
   desired: EngineSetup | undefined;
 }
 
 /**
- * The next step. `wait`: the engine carries an order out. `settle`: it has carried out the journalled
- * one. `resend`: send the journalled order, after journalling it under the own lease when `adopt`.
- * `order`: journal and send a new one. `withhold`: a new one is wanted and may not be given yet.
- * `forget`: write down that no former holder matters any more.
+ * The next step. `wait`: the engine is carrying out an order. `settle`: record that it has carried
+ * out the journalled one. `resend`: send the journalled order, first journalled under the own lease
+ * if `adopt`. `order`: journal and send a new one. `withhold`: a new one is wanted but may not be
+ * sent yet. `forget`: remove former holders, which can no longer send, from the journal.
  */
 export type NextStep =
   | { kind: 'none' | 'wait' | 'forget' }
@@ -61,7 +60,7 @@
 /**
  * Chooses the next step.
  *
- * @param view what is known of the engine
+ * @param view the journal, the engine's state and the desired setup
  */
 export function resolveNextStep(view: EngineView): NextStep {
   const { order } = view.row;
@@ -81,14 +80,14 @@
   const { state, checksFence, othersCleared } = view;
   const target = view.desired ?? order?.wanted;
   if (target === undefined) return { kind: 'none' };
-  const mayDiffer = checksFence || othersCleared;
+  const canSendNew = checksFence || othersCleared;
   if (order !== null && hasRestarted(state, order)) {
     const isSame = isSameSetup(target, order.wanted);
-    if (isSame || !mayDiffer) return { kind: 'resend', order, adopt: true };
+    if (isSame || !canSendNew) return { kind: 'resend', order, adopt: true };
     return createOrder(view, target);
   }
-  if (isObeyed(state, order, target)) return resolveForgetting(view, order);
-  if (!mayDiffer) return { kind: 'withhold', wanted: target };
+  if (isSatisfied(state, order, target)) return resolveSatisfied(view, order);
+  if (!canSendNew) return { kind: 'withhold', wanted: target };
   return createOrder(view, target);
 }
 
@@ -96,13 +95,17 @@
   return state.incarnation !== order.incarnation && state.lastOrderId !== order.id;
 }
 
-/** An engine that carried its order out and is something else yet is not asked again and again. */
-function isObeyed(state: EngineState, order: JournalledOrder | null, target: EngineSetup): boolean {
+/** Also true if the engine acknowledged an order for the target, so that it is not sent repeatedly. */
+function isSatisfied(
+  state: EngineState,
+  order: JournalledOrder | null,
+  target: EngineSetup,
+): boolean {
   if (isSameSetup(resolveSetup(state), target)) return true;
   return state.lastOrderId === order?.id && isSameSetup(order.wanted, target);
 }
 
-function resolveForgetting(view: EngineView, order: JournalledOrder | null): NextStep {
+function resolveSatisfied(view: EngineView, order: JournalledOrder | null): NextStep {
   const { row, own, checksFence, othersCleared } = view;
   if (checksFence || !othersCleared || order === null) return { kind: 'none' };
   const isOther = order.by !== null && order.by.leaseId !== own.leaseId;
--- a/src/orders/rows.ts
+++ b/src/orders/rows.ts
@@ -1,7 +1,6 @@
 /**
- * The rows in which orders to engines are journalled, one row an engine. A row says which order was
- * given last, under whose lease, and which earlier holders might still have a copy of an order on
- * its way.
+ * Journal rows of the orders to engines, one row per engine: the last order, the lease under which
+ * it was sent, and the earlier holders that may still have an order in flight.
  */
 import * as z from 'zod';
 import { leaseHolderSchema } from '../lease/index.js';
@@ -15,17 +14,17 @@
   fence: z.number().int().positive(),
   wanted: orderSchema.shape.wanted,
   /**
-   * The lease under which it may have been sent last; `null` once that holder provably sends
-   * nothing any more.
+   * The lease under which it may have been sent last; `null` once that holder provably can no
+   * longer send.
    */
   by: leaseHolderSchema.nullable(),
-  /** `outstanding` from before it is sent until the engine was seen to have carried it out. */
+  /** `outstanding` from before it is sent until the engine is observed to have carried it out. */
   state: z.enum(['outstanding', 'settled']),
   /** The incarnation of the engine that carried it out; `null` while it is outstanding. */
   incarnation: z.string().nullable(),
 });
 
-/** The last order that was given to an engine. */
+/** The last order of an engine. */
 export type JournalledOrder = z.infer<typeof journalledOrderSchema>;
 
 export const formerHolderSchema = z.object({
@@ -34,11 +33,11 @@
   fence: z.number().int().positive(),
 });
 
-/** A holder that gave orders to the engine and is not yet known to be unable to. */
+/** A former holder that may still send orders to the engine. */
 export type FormerHolder = z.infer<typeof formerHolderSchema>;
 
 export const engineRowSchema = z.object({
-  /** The highest fencing number given to any order of this engine. */
+  /** The highest fencing number of any order to this engine. */
   fence: z.number().int().nonnegative(),
   order: journalledOrderSchema.nullable(),
   /** Holders before `order.by`. */
@@ -48,7 +47,7 @@
 /** The journal of one engine. */
 export type EngineRow = z.infer<typeof engineRowSchema>;
 
-/** The journal of an engine that was never given an order. */
+/** The journal of an engine without any order. */
 export const emptyEngineRow: EngineRow = { fence: 0, order: null, formers: [] };
 
 /**
@@ -61,10 +60,10 @@
 }
 
 /**
- * Whether two states of an engine are the same, whatever the order in which names are listed.
+ * Whether two setups are equal, regardless of the order of models and adapters.
  *
- * @param one a role with models and adapters
- * @param other another
+ * @param one a setup
+ * @param other another setup
  */
 export function isSameSetup(one: EngineSetup, other: EngineSetup): boolean {
   return (
@@ -77,7 +76,7 @@
 /**
  * The part of an engine's state that orders change.
  *
- * @param state the engine's own word
+ * @param state the state that the engine reports
  */
 export function resolveSetup(state: EngineState): EngineSetup {
   return { role: state.role, models: state.models, adapters: state.adapters };
--- a/src/orders/shard-orders.ts
+++ b/src/orders/shard-orders.ts
@@ -1,6 +1,6 @@
 /**
- * The orders of all engines of one held shard: what the planner and the engine groups want is given
- * to the engines one at a time, or as many at once as a group allows.
+ * The orders of all engines of one held shard. Carries out the changes that the planner and the
+ * engine groups want; group changes are limited to as many engines at once as a group allows.
  */
 import { Err, type Result } from 'ts-results-es';
 import type { EngineGroup } from '../configuration/index.js';
@@ -18,15 +18,15 @@
 import { createLoadPacer } from './load-pacer.js';
 import type { EngineSetup } from './rows.js';
 
-/** A new holder counts on its tally after this many periods in which routers tell their places. */
+/** Number of report periods of the routers after which a new holder relies on its tally. */
 const ADOPTION_PERIODS = 2;
 
-/** What the orders of a shard need. */
+/** Dependencies of a shard's orders. */
 export interface ShardOrdersParts {
   node: string;
   held: HeldShard;
   table: TableService;
-  /** Loads are not paced when there is none. */
+  /** Loads are not paced without one. */
   weightStore: WeightStore | undefined;
   formers: Pick<FormerHolders, 'isCleared' | 'trackSend'>;
   tally: OrderTally;
@@ -34,14 +34,14 @@
   log: Log;
   metrics: Metrics;
   terms: OrderTerms;
-  /** Time between two moments at which a router tells holders its places, in milliseconds. */
+  /** Interval at which routers report their places in use to holders, in milliseconds. */
   adoptEveryMs: number;
   createId: () => string;
   isLeaseValid: () => boolean;
   engine(vm: Vm): ModelEngine;
-  /** The engine groups that a VM belongs to, by the configuration in force. */
+  /** The engine groups that a VM belongs to, by the current configuration. */
   groupsOf(vm: Vm): EngineGroup[];
-  /** The engine's word after it carried an order out. */
+  /** Called with the engine's state after it has carried out an order. */
   learned: (state: EngineState) => void;
 }
 
@@ -49,22 +49,22 @@
 export interface ShardOrders {
   /** Reads every engine's journal. */
   start(): Promise<void>;
-  /** Takes in a fresh list of the shard's servers. */
+  /** Replaces the list of the shard's servers. */
   setVms(vms: readonly Vm[]): void;
-  /** An engine answered a look at its state. */
+  /** Handles a state that an engine has reported. */
   updateEngine(state: EngineState): void;
   /**
-   * Brings an engine into a state: drain, journal, send, settle. Settles when it took effect or was
-   * given up, and then says why.
+   * Changes an engine's setup: drain, journal, send, settle. Resolves when the change took effect,
+   * or with the failure for which it was given up.
    */
   change(server: string, wanted: EngineSetup): Promise<Result<void, Failure>>;
-  /** Engines of which a change is wanted or under way. */
+  /** Engines with a change pending or in progress. */
   changing(): string[];
-  /** Gives no further orders. */
+  /** Sends no further orders. */
   stop(): void;
 }
 
-interface Ordered {
+interface EngineEntry {
   vm: Vm;
   orders: EngineOrders;
 }
@@ -72,18 +72,18 @@
 /**
  * Creates the orders of a held shard, without any engine yet.
  *
- * @param parts the shard and everything that orders depend on
+ * @param parts the shard and what its orders depend on
  */
 export function createShardOrders(parts: ShardOrdersParts): ShardOrders {
   const { clock, held } = parts;
   const journal = createOrderJournal(parts.table, held);
   const tallyCompleteAt = clock.now() + ADOPTION_PERIODS * parts.adoptEveryMs;
-  const ordered = new Map<string, Ordered>();
+  const engines = new Map<string, EngineEntry>();
   const reconciled = new Set<string>();
 
-  function add(vm: Vm): Ordered {
+  function add(vm: Vm): EngineEntry {
     const engine = parts.engine(vm);
-    const added: Ordered = {
+    const added: EngineEntry = {
       vm,
       orders: createEngineOrders({
         engine,
@@ -110,7 +110,7 @@
         },
       }),
     };
-    ordered.set(vm.id, added);
+    engines.set(vm.id, added);
     return added;
   }
 
@@ -123,25 +123,25 @@
     return wanted;
   }
 
-  /** Engines changed for their groups or for the planner. */
+  /** Counts the engines that are changing for their groups or for the planner. */
   function countChanging(): number {
     const changing = new Set(reconciled);
-    for (const [id, { orders }] of ordered) {
+    for (const [id, { orders }] of engines) {
       if (orders.isChanging()) changing.add(id);
     }
     return changing.size;
   }
 
-  function remove(id: string, { orders }: Ordered): void {
+  function remove(id: string, { orders }: EngineEntry): void {
     orders.stop();
-    ordered.delete(id);
+    engines.delete(id);
     reconciled.delete(id);
   }
 
   return {
     async start() {
       const started: Promise<void>[] = [];
-      for (const { orders } of ordered.values()) {
+      for (const { orders } of engines.values()) {
         started.push(orders.start());
       }
       await Promise.all(started);
@@ -151,32 +151,32 @@
       for (const vm of vms) {
         listed.set(vm.id, vm);
       }
-      for (const [id, known] of ordered) {
+      for (const [id, known] of engines) {
         const vm = listed.get(id);
         if (vm?.address === known.vm.address) known.vm = vm;
         else remove(id, known);
       }
       for (const vm of listed.values()) {
-        if (!ordered.has(vm.id)) add(vm);
+        if (!engines.has(vm.id)) add(vm);
       }
     },
     updateEngine(state) {
-      ordered.get(state.id)?.orders.updateState(state);
+      engines.get(state.id)?.orders.updateState(state);
     },
     change(server, wanted) {
-      const found = ordered.get(server);
+      const found = engines.get(server);
       if (found === undefined) return Promise.resolve(Err(refuseUnknown(server)));
       return found.orders.change(wanted);
     },
     changing() {
       const changing: string[] = [];
-      for (const [id, { orders }] of ordered) {
+      for (const [id, { orders }] of engines) {
         if (orders.isChanging()) changing.push(id);
       }
       return changing;
     },
     stop() {
-      for (const { orders } of ordered.values()) {
+      for (const { orders } of engines.values()) {
         orders.stop();
       }
     },
--- a/test/orders/interleavings.test.ts
+++ b/test/orders/interleavings.test.ts
@@ -9,8 +9,8 @@
 
 const roles = ['mixed', 'prefill', 'decode'] as const;
 
-/** Things that happen to holders, the table and the engine, one after the other. */
-const happening = fc.oneof(
+/** One step of a trial: a fault or action of holders, the table and the engine. */
+const step = fc.oneof(
   {
     weight: 3,
     arbitrary: fc.record({
@@ -35,17 +35,17 @@
 
 const trials = fc.record({
   seed: fc.integer(),
-  /** Whether it begins with a paused holder. */
+  /** Whether the trial begins with a paused holder. */
   isPausedFirst: fc.boolean(),
   slowShare: fc.constantFrom(0, 0.2),
-  happenings: fc.array(fc.record({ what: happening, thenMs: fc.integer({ min: 0, max: 8_000 }) }), {
+  steps: fc.array(fc.record({ what: step, thenMs: fc.integer({ min: 0, max: 8_000 }) }), {
     minLength: 4,
     maxLength: 14,
   }),
 });
 
-/** A holder that is paused between its check and its write, and a successor. */
-const pausedHolder: Trial['happenings'] = [
+/** A holder that is paused between its lease check and its write, and its successor. */
+const pausedHolder: Trial['steps'] = [
   { what: { kind: 'disturb', fault: 'sender-paused' }, thenMs: 0 },
   { what: { kind: 'change', role: 'prefill' }, thenMs: 3_000 },
   { what: { kind: 'take' }, thenMs: 10_000 },
@@ -53,28 +53,28 @@
 
 type Trial = typeof trials extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** The mechanisms that a control takes away. */
-interface Missing {
+/** Mechanisms that a control disables. */
+interface Disabled {
   shardCondition?: boolean;
   formersRule?: boolean;
 }
 
-const trustAll = {
+const allCleared = {
   isCleared: () => Promise.resolve(true),
   trackSend: <Value>(_engine: string, send: () => Promise<Value>) => send(),
 };
 
 /**
- * Plays a trial: each new holder takes the shard while the one before goes on as if its lease were
- * valid, paused or not. Gives the orders that took an engine which ignores numbers back to a state
- * that a later order had replaced, and for each order what ran when it was taken.
+ * Runs a trial: each new holder takes the shard while the previous one continues as if its lease
+ * were valid, paused or not. Returns the orders that the engine received, the orders journalled
+ * without authority, and the final journal and state.
  */
-async function play(checksFence: boolean, trial: Trial, missing: Missing = {}) {
+async function runTrial(checksFence: boolean, trial: Trial, disabled: Disabled = {}) {
   const bench = createOrderBench(checksFence);
   const { engine, control, clock, advance } = bench;
   const random = createSeededRandom(trial.seed);
-  /** Orders that were journalled by a node after another had taken the shard. */
-  const strays: string[] = [];
+  /** Orders journalled by a node after another one had taken the shard. */
+  const unauthorized: string[] = [];
   const watched: TableService = {
     ...bench.table,
     async transact(transaction) {
@@ -84,7 +84,7 @@
       for (const { key, value } of transaction.puts) {
         if (!key.startsWith('engines/')) continue;
         const { order } = engineRowSchema.parse(value);
-        if (order?.state === 'outstanding' && order.by?.node !== owner) strays.push(order.id);
+        if (order?.state === 'outstanding' && order.by?.node !== owner) unauthorized.push(order.id);
       }
       return outcome;
     },
@@ -97,8 +97,8 @@
     timeoutMs: 1_000,
   });
   const setting = {
-    table: missing.shardCondition === true ? withoutShardCondition(unsteady) : unsteady,
-    ...(missing.formersRule === true ? { formers: trustAll } : {}),
+    table: disabled.shardCondition === true ? withoutShardCondition(unsteady) : unsteady,
+    ...(disabled.formersRule === true ? { formers: allCleared } : {}),
   };
   let holders = 0;
   const nextHolder = () => {
@@ -106,10 +106,8 @@
     return bench.hold(`n${holders}`, setting);
   };
   let current = await nextHolder();
-  const happenings = trial.isPausedFirst
-    ? [...pausedHolder, ...trial.happenings]
-    : trial.happenings;
-  for (const { what, thenMs } of happenings) {
+  const steps = trial.isPausedFirst ? [...pausedHolder, ...trial.steps] : trial.steps;
+  for (const { what, thenMs } of steps) {
     if (what.kind === 'change') {
       void current.orders.change('engine-1', createWanted(what.role, [`for-${holders}`]));
     }
@@ -131,12 +129,12 @@
   await advance(40_000);
   return {
     received: engine.control.received,
-    strays,
+    unauthorized,
     row: bench.row,
     state: engine.control.state(),
   };
 
-  /** The holders before the present one are killed, with what they had on the way, and it shows. */
+  /** Kills the former holders with their orders in flight, and writes rows that prove it. */
   async function proveFormersEnded(): Promise<void> {
     engine.control.killSenders(current.holder.node);
     for (const former of bench.holders.slice(0, -1)) {
@@ -146,8 +144,8 @@
   }
 }
 
-/** Orders that were taken after an order with a higher number had been taken. */
-function countConflicts(received: Awaited<ReturnType<typeof play>>['received']): number {
+/** Counts orders taken after an order with a higher fencing number. */
+function countConflicts(received: Awaited<ReturnType<typeof runTrial>>['received']): number {
   let highest = 0;
   let conflicts = 0;
   for (const { order, result } of received) {
@@ -158,50 +156,50 @@
   return conflicts;
 }
 
-function findViolations(played: Awaited<ReturnType<typeof play>>): string[] {
+function findViolations(outcome: Awaited<ReturnType<typeof runTrial>>): string[] {
   const violations: string[] = [];
-  if (countConflicts(played.received) > 0) violations.push('an older order after a newer one');
+  if (countConflicts(outcome.received) > 0) violations.push('an older order after a newer one');
   const byFence = new Map<number, string>();
-  for (const { order, result, whileBusy } of played.received) {
+  for (const { order, result, whileBusy } of outcome.received) {
     if (result === 'taken' && whileBusy) violations.push('an order during another');
     const known = byFence.get(order.fence) ?? order.orderId;
-    if (known !== order.orderId) violations.push('two orders with one number');
+    if (known !== order.orderId) violations.push('two orders with the same fencing number');
     byFence.set(order.fence, known);
   }
-  if (played.strays.length > 0) violations.push('an order without authority');
+  if (outcome.unauthorized.length > 0) violations.push('an order journalled without authority');
   return violations;
 }
 
 describe('orders in random interleavings', () => {
   for (const checksFence of [true, false]) {
     const kind = checksFence ? 'checks' : 'ignores';
-    it(`never conflict on an engine that ${kind} numbers, and settle in the end`, async () => {
+    it(`never conflict and finally settle on an engine that ${kind} fencing numbers`, async () => {
       await fc.assert(
         fc.asyncProperty(trials, async (trial) => {
-          // An engine that forgets its number in a crash is for that moment one that ignores them.
-          const happenings = checksFence
-            ? trial.happenings.filter(({ what }) => what.kind !== 'crash')
-            : trial.happenings;
-          const played = await play(checksFence, { ...trial, happenings });
-          expect(findViolations(played)).to.deep.equal([]);
-          if (played.received.length === 0) return;
-          expect(played.row().order?.state).to.equal('settled');
-          expect(played.state.role).to.equal(played.row().order?.wanted.role);
+          // An engine that loses its fencing number in a crash temporarily ignores fencing numbers.
+          const steps = checksFence
+            ? trial.steps.filter(({ what }) => what.kind !== 'crash')
+            : trial.steps;
+          const outcome = await runTrial(checksFence, { ...trial, steps });
+          expect(findViolations(outcome)).to.deep.equal([]);
+          if (outcome.received.length === 0) return;
+          expect(outcome.row().order?.state).to.equal('settled');
+          expect(outcome.state.role).to.equal(outcome.row().order?.wanted.role);
         }),
         { numRuns: 100, seed: 20_263 },
       );
     });
   }
 
-  const controls: Record<string, Missing> = {
+  const controls: Record<string, Disabled> = {
     'the rule on former holders': { formersRule: true },
     "the condition on the shard's row": { shardCondition: true },
   };
-  for (const [name, missing] of Object.entries(controls)) {
-    it(`control: do conflict without ${name}`, async () => {
+  for (const [name, disabled] of Object.entries(controls)) {
+    it(`control: conflict without ${name}`, async () => {
       const found = await fc.check(
         fc.asyncProperty(trials, async (trial) => {
-          return findViolations(await play(false, trial, missing)).length === 0;
+          return findViolations(await runTrial(false, trial, disabled)).length === 0;
         }),
         { numRuns: 400, seed: 20_263, endOnFailure: true },
       );
--- a/test/orders/orders.test.ts
+++ b/test/orders/orders.test.ts
@@ -13,7 +13,7 @@
 const decode = createWanted('decode');
 
 describe('orders to engines', () => {
-  it('journals an order, sends it, and settles it once the engine has carried it out', async () => {
+  it('journals an order, sends it, and settles it after the engine has carried it out', async () => {
     const { hold, engine, row, runUntil, events } = createOrderBench(true);
     const { orders } = await hold('a');
     expect((await runUntil(orders.change('engine-1', prefill))).isOk()).to.equal(true);
@@ -25,7 +25,7 @@
     expect(engine.control.received.map(({ whileBusy }) => whileBusy)).to.deep.equal([false, false]);
   });
 
-  it('waits for permits and for a load report made after the engine was kept free', async () => {
+  it('drains until no permits are out and a load report made after its start shows an idle engine', async () => {
     const { hold, engine, advance, runUntil } = createOrderBench(true);
     const { orders, status } = await hold('a');
     await advance(5_000);
@@ -46,7 +46,7 @@
     expect(status.heldForOrder).to.equal(false);
   });
 
-  it('gives a change up rather than cut what runs, and lets work in again', async () => {
+  it('gives a change up instead of interrupting running requests, and ends the drain', async () => {
     const { hold, engine, runUntil } = createOrderBench(true);
     const { orders, status } = await hold('a');
     engine.control.running = 1;
@@ -56,7 +56,7 @@
     expect(engine.control.received).to.have.length(0);
   });
 
-  it('as a new holder trusts its tally only after routers told their places twice', async () => {
+  it('waits for two report periods of the routers before a new holder relies on its tally', async () => {
     const { hold, engine, advance, runUntil } = createOrderBench(true);
     const { orders } = await hold('a');
     const changed = orders.change('engine-1', prefill);
@@ -66,7 +66,7 @@
   });
 
   for (const fault of ['receipt-lost', 'never-arrives'] as const) {
-    it(`sends the same order again after a fault: ${fault}`, async () => {
+    it(`resends the same order after a fault: ${fault}`, async () => {
       const { hold, engine, runUntil } = createOrderBench(false);
       const { orders } = await hold('a');
       engine.control.disturb(fault);
@@ -77,7 +77,7 @@
   }
 
   for (const fault of ['unknown-after-effect', 'unknown-without-effect', 'late'] as const) {
-    it(`goes on from what the journal says after a lost table answer: ${fault}`, async () => {
+    it(`recovers from the journal after a lost table answer: ${fault}`, async () => {
       const { hold, engine, control, row, advance, runUntil } = createOrderBench(false);
       const { orders } = await hold('a');
       control.disturb(fault);
@@ -90,7 +90,7 @@
     });
   }
 
-  it('gives no order without a valid lease, and lets work in meanwhile', async () => {
+  it('sends no order without a valid lease, and ends the drain meanwhile', async () => {
     const { hold, engine, control, advance, runUntil } = createOrderBench(true);
     const { orders, status } = await hold('a');
     const changed = orders.change('engine-1', prefill);
@@ -106,7 +106,7 @@
     (await runUntil(changed)).unwrap();
   });
 
-  it('brings an engine that crashed in the middle of a change to the journalled state', async () => {
+  it('restores the journalled setup of an engine that crashed during a change', async () => {
     const { hold, engine, row, advance, runUntil } = createOrderBench(false);
     const { orders } = await hold('a');
     const changed = orders.change('engine-1', prefill);
@@ -122,7 +122,7 @@
     expect(engine.control.taken()).to.deep.equal(['prefill:']);
   });
 
-  it('changes an engine once for its planner and its groups', async () => {
+  it('combines the changes for the planner and the groups into one order', async () => {
     const groups = [
       createObject({ kind: 'group', name: 'g', model: 'm', adapters: ['x'], selector: {} }),
     ].filter((object) => object.kind === 'group');
@@ -133,11 +133,11 @@
     expect(engine.control.taken()).to.deep.equal(['prefill:x']);
   });
 
-  it('loads what a group lacks, one ticket of the weight store for each load', async () => {
+  it('loads adapters that a group lacks, with one weight store ticket per load', async () => {
     const groups = [
       createObject({ kind: 'group', name: 'g', model: 'm', adapters: ['x', 'y'], selector: {} }),
     ].filter((object) => object.kind === 'group');
-    const asked: string[] = [];
+    const requested: string[] = [];
     const failure = createRefusal({
       code: 'rate-limited',
       message: 'later',
@@ -147,25 +147,25 @@
     });
     const weightStore = {
       requestTicket: (name: string) => {
-        asked.push(name);
-        return Promise.resolve(asked.length === 2 ? Err(failure) : Ok('ticket'));
+        requested.push(name);
+        return Promise.resolve(requested.length === 2 ? Err(failure) : Ok('ticket'));
       },
     };
     const { hold, engine, advance } = createOrderBench(true);
     const { status } = await hold('a', { groups, weightStore });
     await advance(4_000);
-    expect(asked).to.deep.equal(['x', 'y']);
+    expect(requested).to.deep.equal(['x', 'y']);
     expect(status.heldForOrder).to.equal(false);
     await advance(12_000);
-    expect(asked).to.deep.equal(['x', 'y', 'y']);
+    expect(requested).to.deep.equal(['x', 'y', 'y']);
     expect(engine.control.state()).to.deep.include({ role: 'mixed', adapters: ['x', 'y'] });
     await advance(10_000);
     expect(engine.control.received).to.have.length(1);
   });
 });
 
-/** Lets a give an order that stays on its way, as if a were paused between its check and its write. */
-async function leaveOrderOnItsWay(checksFence: boolean, setting = {}) {
+/** Holder `a` sends an order that stays in flight, as if paused between lease check and write. */
+async function leaveOrderInFlight(checksFence: boolean, setting = {}) {
   const bench = createOrderBench(checksFence);
   const a = await bench.hold('a', setting);
   bench.engine.control.disturb('sender-paused');
@@ -177,12 +177,12 @@
   return { ...bench, a };
 }
 
-describe('a successor of a paused holder', () => {
+describe('the successor of a paused holder', () => {
   for (const checksFence of [true, false]) {
     const kind = checksFence ? 'checks' : 'ignores';
 
-    it(`finishes the same order first, on an engine that ${kind} numbers`, async () => {
-      const { hold, engine, row, advance } = await leaveOrderOnItsWay(checksFence);
+    it(`completes the same order first, on an engine that ${kind} fencing numbers`, async () => {
+      const { hold, engine, row, advance } = await leaveOrderInFlight(checksFence);
       const b = await hold('b');
       expect(b.status.heldForOrder).to.equal(true);
       await advance(10_000);
@@ -193,8 +193,8 @@
       expect(b.status.heldForOrder).to.equal(false);
     });
 
-    it(`is safe when the engine that ${kind} numbers crashes as well`, async () => {
-      const { hold, engine, advance } = await leaveOrderOnItsWay(checksFence);
+    it(`sends no conflicting order when an engine that ${kind} fencing numbers crashes as well`, async () => {
+      const { hold, engine, advance } = await leaveOrderInFlight(checksFence);
       await hold('b');
       await advance(10_000);
       engine.control.crash();
@@ -205,8 +205,8 @@
     });
   }
 
-  it('gives a different order to an engine that checks; the late one is refused', async () => {
-    const { hold, engine, runUntil } = await leaveOrderOnItsWay(true);
+  it('sends a different order to an engine that checks fencing numbers, which refuses the late one', async () => {
+    const { hold, engine, runUntil } = await leaveOrderInFlight(true);
     const { orders } = await hold('b');
     (await runUntil(orders.change('engine-1', decode))).unwrap();
     engine.control.crash();
@@ -215,8 +215,8 @@
     expect(engine.control.received.at(-1)).to.include({ result: 'stale-fence' });
   });
 
-  it('withholds a different order from an engine that ignores numbers', async () => {
-    const { hold, engine, events, runUntil, advance } = await leaveOrderOnItsWay(false);
+  it('withholds a different order from an engine that ignores fencing numbers', async () => {
+    const { hold, engine, events, runUntil, advance } = await leaveOrderInFlight(false);
     const b = await hold('b');
     const changed = await runUntil(b.orders.change('engine-1', decode));
     expect(changed.unwrapErr().code).to.equal('order-refused');
@@ -229,7 +229,7 @@
   });
 
   it('control: without the rule on former holders the engine gets conflicting orders', async () => {
-    const { hold, engine, runUntil } = await leaveOrderOnItsWay(false);
+    const { hold, engine, runUntil } = await leaveOrderInFlight(false);
     const formers = {
       isCleared: () => Promise.resolve(true),
       trackSend: <Value>(_engine: string, send: () => Promise<Value>) => send(),
@@ -242,14 +242,16 @@
   });
 
   for (const broken of [false, true]) {
-    const name = broken ? 'control: is overtaken without the condition' : 'cannot be overtaken';
-    it(`${name} on the shard's row`, async () => {
+    const name = broken
+      ? 'control: a former holder can order without'
+      : 'prevents orders of a former holder by';
+    it(`${name} the condition on the shard's row`, async () => {
       const bench = createOrderBench(false);
       const { hold, table, engine, advance, row, runUntil } = bench;
       const a = await hold('a', broken ? { table: withoutShardCondition(table) } : {});
       (await runUntil(a.orders.change('engine-1', prefill))).unwrap();
       await hold('b', { ordersSettled: () => 1 });
-      // a still believes in its lease, as if its check had been just before a pause.
+      // `a` still considers its lease valid, as if paused just after the check.
       void a.orders.change('engine-1', decode);
       await advance(10_000);
       expect(engine.control.taken()).to.have.length(broken ? 2 : 1);
@@ -265,11 +267,11 @@
       const newer = { ...bench.a.holder, incarnation: 'a-2', leaseId: 'a-lease-x' };
       await bench.writeNode(newer, 'held');
     },
-    "an operator's word": (bench: Bench) => {
-      bench.word.fence = 1;
+    "an operator's confirmation": (bench: Bench) => {
+      bench.operator.fence = 1;
       return Promise.resolve();
     },
-    'a VM that is gone from a list read after its lag': async (bench: Bench) => {
+    'the removal of its VM from a list read after the lag': async (bench: Bench) => {
       const { a, b, advance, platform } = bench;
       const former = { holder: a.holder, fence: 1 };
       const listed = [createVm({ id: 'vm-a', kind: 'entry', address: a.holder.peer })];
@@ -286,7 +288,7 @@
   };
 
   for (const [name, prove] of Object.entries(proofs)) {
-    it(`orders an engine that ignores numbers after ${name}`, async () => {
+    it(`sends a different order to an engine that ignores fencing numbers after ${name}`, async () => {
       const bench = await setUpProof();
       const { b, engine, row, runUntil, advance } = bench;
       const refused = await runUntil(b.orders.change('engine-1', decode));
@@ -299,7 +301,7 @@
     });
   }
 
-  it('reads little of the table while it waits for a proof that nothing needs yet', async () => {
+  it('rarely reads the table while no step depends on the proof', async () => {
     const { advance, control } = await setUpProof();
     await advance(10_000);
     const before = control.reads;
@@ -307,7 +309,7 @@
     expect(control.reads - before).to.be.within(1, 10);
   });
 
-  it('takes neither a lapsed lease nor an address that many can listen at for a proof', async () => {
+  it('accepts neither a lapsed lease nor a wildcard address as a proof', async () => {
     const bench = await setUpProof('0.0.0.0:7000');
     const { a, b, runUntil, writeNode, advance } = bench;
     await writeNode(a.holder, 'lapsed');
@@ -321,8 +323,8 @@
 type Bench = Awaited<ReturnType<typeof setUpProof>>;
 
 async function setUpProof(peer = '10.0.0.9:7000') {
-  const bench = await leaveOrderOnItsWay(false, { peer });
-  const word = { fence: 0 };
-  const b = await bench.hold('b', { ordersSettled: () => word.fence });
-  return { ...bench, b, word };
+  const bench = await leaveOrderInFlight(false, { peer });
+  const operator = { fence: 0 };
+  const b = await bench.hold('b', { ordersSettled: () => operator.fence });
+  return { ...bench, b, operator };
 }
