--- a/src/planner/demand.ts
+++ b/src/planner/demand.ts
@@ -1,9 +1,9 @@
 /**
- * Demand for each engine group, in tokens, over the last seconds: everything that was asked for,
- * refused or not. Kept in slots of a second, so that any horizon can be looked at.
+ * Recent token demand of each engine group, refused requests included. Kept in one-second slots, so
+ * that it can be averaged over any horizon up to `LONGEST_HORIZON_MS`.
  */
 
-/** Tokens of one request. */
+/** Token demand of one request. */
 export interface RequestDemand {
   group: string;
   class: string;
@@ -19,10 +19,10 @@
   outputTokensPerSecond: number;
 }
 
-/** What was asked for lately. Times are milliseconds on one clock. */
+/** Meter of recent demand. Times are milliseconds on one clock. */
 export interface DemandMeter {
-  add(asked: RequestDemand, now: number): void;
-  /** Mean demand over the last whole seconds of `horizonMs`, or of what was seen, by class. */
+  add(request: RequestDemand, now: number): void;
+  /** Mean demand by class over the last whole seconds of `horizonMs`, or since the meter started. */
   read(group: string, horizonMs: number, now: number): ClassDemand[];
 }
 
@@ -32,35 +32,35 @@
   outputTokens: number;
 }
 
-/** Demand older than this is forgotten. */
+/** Demand older than this is discarded. */
 export const LONGEST_HORIZON_MS = 300_000;
 const SLOT_MS = 1_000;
 const SLOTS = LONGEST_HORIZON_MS / SLOT_MS;
 
 /**
- * Creates a meter that has seen nothing.
+ * Creates an empty meter.
  *
- * @param startedAt when it began to look
+ * @param startedAt when it started
  */
 export function createDemandMeter(startedAt: number): DemandMeter {
   const groups = new Map<string, Map<string, Slot[]>>();
 
-  function find(asked: RequestDemand): Slot[] {
-    const classes = groups.get(asked.group) ?? new Map<string, Slot[]>();
-    groups.set(asked.group, classes);
-    const slots = classes.get(asked.class) ?? [];
-    classes.set(asked.class, slots);
+  function find(request: RequestDemand): Slot[] {
+    const classes = groups.get(request.group) ?? new Map<string, Slot[]>();
+    groups.set(request.group, classes);
+    const slots = classes.get(request.class) ?? [];
+    classes.set(request.class, slots);
     return slots;
   }
 
   return {
-    add(asked, now) {
+    add(request, now) {
       const second = Math.floor(now / SLOT_MS);
-      const slots = find(asked);
+      const slots = find(request);
       let slot = slots[second % SLOTS];
       if (slot?.second !== second) slot = { second, promptTokens: 0, outputTokens: 0 };
-      slot.promptTokens += asked.promptTokens;
-      slot.outputTokens += asked.outputTokens;
+      slot.promptTokens += request.promptTokens;
+      slot.outputTokens += request.outputTokens;
       slots[second % SLOTS] = slot;
     },
     read(group, horizonMs, now) {
@@ -75,7 +75,7 @@
 }
 
 function average(slots: readonly Slot[], spanMs: number, now: number): Omit<ClassDemand, 'class'> {
-  // The second that has just begun would count as one in which little was asked for.
+  // Excludes the current second, which is incomplete and would lower the mean.
   const end = Math.floor(now / SLOT_MS);
   let promptTokens = 0;
   let outputTokens = 0;
--- a/src/planner/index.ts
+++ b/src/planner/index.ts
@@ -1,4 +1,4 @@
-/** The planner: which engine has which role, by demand and the cost of a change. */
+/** The planner: assigns roles to engines by demand and the cost of a change. */
 export * from './demand.js';
 export * from './plan.js';
 export * from './planners.js';
--- a/src/planner/plan.ts
+++ b/src/planner/plan.ts
@@ -1,49 +1,49 @@
 /**
- * How much of a demand a group's engines can serve in given roles. A mixed engine divides its time
- * between prompts and tokens as it needs; an engine with a role does one of the two, and a request
- * that is read on one engine is generated on another, so what either has beyond the other is lost.
+ * Estimates how much of a demand a group's engines can serve in given roles. A mixed engine divides
+ * its time between prefill and decode as needed. A prefill or decode engine does one of the two, and
+ * each request needs both, so the spare capacity of the faster side is lost.
  */
 import type { Role } from '../ports/index.js';
 
-/** Demand for a group, or the share of it that some engines serve. */
+/** Demand of a group. */
 export interface Demand {
   promptTokensPerSecond: number;
   outputTokensPerSecond: number;
 }
 
-/** How fast one engine works in each role. */
+/** Throughput of one engine in each role. */
 export interface RoleRates {
-  /** Prompt tokens a second of an engine that does nothing else. */
+  /** Prefill throughput of an engine that does nothing else. */
   promptTokensPerSecond: number;
-  /** Tokens a second of an engine that does nothing else, over its whole batch. */
+  /** Decode throughput of an engine that does nothing else, over its whole batch. */
   outputTokensPerSecond: number;
-  /** What a mixed engine does of its work for the time that it takes for both, from 0 to 1. */
+  /** Throughput of a mixed engine relative to dedicated engines, from 0 to 1. */
   mixedEfficiency: number;
 }
 
-/** How many engines have each role. */
+/** Number of engines in each role. */
 export interface RoleCounts {
   mixed: number;
   prefill: number;
   decode: number;
 }
 
-/** An engine as the planner sees it. */
+/** An engine, as input of the planner. */
 export interface PlannedEngine {
   id: string;
   role: Role;
-  /** A change of it is under way. */
+  /** Whether a change of the engine is in progress. */
   isChanging: boolean;
-  /** Requests on it; the idlest engine is changed first. */
+  /** Permits in use; the engine with the fewest is changed first. */
   permitsOut: number;
 }
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface PlanInput {
   engines: readonly PlannedEngine[];
   demand: Demand;
   rates: RoleRates;
-  /** How long a role change takes an engine away, in milliseconds. */
+  /** Time for which a role change makes an engine unavailable, in milliseconds. */
   downtimeMs: number;
 }
 
@@ -54,26 +54,32 @@
 }
 
 /**
- * Share of a demand that engines can serve; above 1 when there is more than is needed.
+ * Estimates the share of a demand that engines can serve; above 1 if capacity exceeds demand.
  *
- * @param counts how many engines have each role
+ * @param counts number of engines in each role
  * @param demand the demand
- * @param rates how fast one engine works
+ * @param rates throughput of one engine
  */
 export function resolveServedShare(counts: RoleCounts, demand: Demand, rates: RoleRates): number {
-  const workPerSecond = resolveWork(demand, rates);
-  if (workPerSecond === 0) return Number.POSITIVE_INFINITY;
-  const read = divide(counts.prefill * rates.promptTokensPerSecond, demand.promptTokensPerSecond);
-  const written = divide(counts.decode * rates.outputTokensPerSecond, demand.outputTokensPerSecond);
-  const split = Math.min(read, written);
-  return split + (counts.mixed * rates.mixedEfficiency) / workPerSecond;
+  const work = resolveWork(demand, rates);
+  if (work === 0) return Number.POSITIVE_INFINITY;
+  const prefillShare = divide(
+    counts.prefill * rates.promptTokensPerSecond,
+    demand.promptTokensPerSecond,
+  );
+  const decodeShare = divide(
+    counts.decode * rates.outputTokensPerSecond,
+    demand.outputTokensPerSecond,
+  );
+  const dedicatedShare = Math.min(prefillShare, decodeShare);
+  return dedicatedShare + (counts.mixed * rates.mixedEfficiency) / work;
 }
 
 /**
- * Work of a demand in engines: seconds of one engine's time a second.
+ * Converts a demand to the number of fully busy engines that serve it: engine seconds per second.
  *
  * @param demand the demand
- * @param rates how fast one engine works
+ * @param rates throughput of one engine
  */
 export function resolveWork(demand: Demand, rates: RoleRates): number {
   return (
@@ -94,10 +100,10 @@
 }
 
 /**
- * How many engines have to change their role.
+ * Counts the engines that have to change their role.
  *
- * @param from the roles now
- * @param to the roles wanted
+ * @param from the present roles
+ * @param to the wanted roles
  */
 export function countChanges(from: RoleCounts, to: RoleCounts): number {
   let changes = 0;
@@ -106,22 +112,22 @@
 }
 
 /**
- * The next changes on the way to the wanted roles, the idlest engines first.
+ * Lists the next changes towards the wanted roles, the least loaded engines first.
  *
  * @param engines the engines
- * @param to the roles wanted
- * @param most how many may begin now
+ * @param to the wanted roles
+ * @param maxChanges number of changes that may begin now
  */
 export function resolveNextChanges(
   engines: readonly PlannedEngine[],
   to: RoleCounts,
-  most: number,
+  maxChanges: number,
 ): RoleChange[] {
   const counts = countRoles(engines);
-  const idlest = [...engines].sort((left, right) => left.permitsOut - right.permitsOut);
+  const byLoad = [...engines].sort((left, right) => left.permitsOut - right.permitsOut);
   const changes: RoleChange[] = [];
-  for (const { id, role, isChanging } of idlest) {
-    if (changes.length >= most) break;
+  for (const { id, role, isChanging } of byLoad) {
+    if (changes.length >= maxChanges) break;
     if (isChanging || counts[role] <= to[role]) continue;
     const wanted = roles.find((candidate) => counts[candidate] < to[candidate]);
     if (wanted === undefined) break;
@@ -132,7 +138,7 @@
   return changes;
 }
 
-/** Every way to give roles to so many engines. */
+/** Yields every distribution of roles over the given number of engines. */
 export function* listRoleCounts(engines: number): Generator<RoleCounts> {
   for (let prefill = 0; prefill <= engines; prefill += 1) {
     for (let decode = 0; decode + prefill <= engines; decode += 1) {
@@ -143,6 +149,6 @@
 
 const roles = ['mixed', 'prefill', 'decode'] as const satisfies Role[];
 
-function divide(supply: number, need: number): number {
-  return need === 0 ? Number.POSITIVE_INFINITY : supply / need;
+function divide(supply: number, required: number): number {
+  return required === 0 ? Number.POSITIVE_INFINITY : supply / required;
 }
--- a/src/planner/planners.ts
+++ b/src/planner/planners.ts
@@ -1,7 +1,4 @@
-/**
- * Planners: which engines change their role now. Pure: they see demand, rates and roles, and keep
- * nothing between two plans.
- */
+/** Planners: decide which engines change their role now. They keep no state between plans. */
 import {
   countChanges,
   countRoles,
@@ -16,29 +13,29 @@
 
 /** Decides on role changes. */
 export interface RolePlanner {
-  /** The changes to begin now; most often none. */
+  /** Returns the changes to begin now; usually none. */
   plan(input: PlanInput): RoleChange[];
 }
 
-/** An operator's word on role changes. */
+/** An operator's settings for role changes. */
 export interface PlannerTerms {
-  /** Worth of one role change, in seconds of a whole engine's work; higher means fewer changes. */
+  /** Additional cost of a role change, in engine seconds; higher means fewer changes. */
   changeCost: number;
-  /** How far ahead a gain counts, and how far back demand is looked at, in milliseconds. */
+  /** Time ahead for which a gain counts and time back over which demand is averaged, in ms. */
   horizonMs: number;
-  /** How many engines may be changing at once. */
+  /** Maximum number of engines that change at the same time. */
   maxAtOnce: number;
 }
 
-/** Engines are planned to be this much stronger than the mean demand. */
+/** Planned capacity relative to the mean demand. */
 const HEADROOM = 1.15;
-/** A gain must be so many times its cost, so that two plans of equal worth do not take turns. */
+/** Required ratio of gain to cost; prevents oscillation between plans of equal value. */
 const HYSTERESIS = 1.25;
 const MS_PER_SECOND = 1_000;
 
 /**
- * Changes a role only when the gain over the horizon is worth the engine's time away and what the
- * operator says that a change costs.
+ * Changes a role only if the gain over the horizon exceeds the engine's downtime plus the operator's
+ * cost of a change.
  */
 export class CostedPlanner implements RolePlanner {
   readonly #terms: PlannerTerms;
@@ -48,21 +45,22 @@
   }
 
   plan(input: PlanInput): RoleChange[] {
-    const room = this.#terms.maxAtOnce - countChanging(input);
-    if (room <= 0) return [];
+    const allowed = this.#terms.maxAtOnce - countChanging(input);
+    if (allowed <= 0) return [];
     const best = this.#findBest(input);
-    return best === undefined ? [] : resolveNextChanges(input.engines, best, room);
+    return best === undefined ? [] : resolveNextChanges(input.engines, best, allowed);
   }
 
   #findBest(input: PlanInput): RoleCounts | undefined {
     const present = countRoles(input.engines);
-    const now = resolveWorth(present, input);
+    const presentWork = resolveServedWork(present, input);
     let best: RoleCounts | undefined;
     let bestNet = 0;
     for (const counts of listRoleCounts(input.engines.length)) {
       const changes = countChanges(present, counts);
       if (changes === 0) continue;
-      const gain = (resolveWorth(counts, input) - now) * this.#gainSeconds(changes, input);
+      const gain =
+        (resolveServedWork(counts, input) - presentWork) * this.#gainSeconds(changes, input);
       const cost = changes * (input.downtimeMs / MS_PER_SECOND + this.#terms.changeCost);
       if (gain <= cost * HYSTERESIS || gain - cost <= bestNet) continue;
       best = counts;
@@ -71,7 +69,7 @@
     return best;
   }
 
-  /** The gain begins when the changes are done, and they follow one another. */
+  /** Time within the horizon that remains after the changes, `maxAtOnce` of them at a time. */
   #gainSeconds(changes: number, { downtimeMs }: PlanInput): number {
     const rounds = Math.ceil(changes / this.#terms.maxAtOnce);
     return Math.max(0, this.#terms.horizonMs - rounds * downtimeMs) / MS_PER_SECOND;
@@ -79,8 +77,8 @@
 }
 
 /**
- * Follows the mix at once and whatever it costs, with prefill and decode engines alone. For
- * comparison with the other.
+ * Follows the ratio of prefill to decode demand immediately and regardless of cost, without mixed
+ * engines. A baseline for measurements of `CostedPlanner`.
  */
 export class EagerPlanner implements RolePlanner {
   readonly #maxAtOnce: number;
@@ -91,14 +89,14 @@
 
   plan(input: PlanInput): RoleChange[] {
     const { engines, demand, rates } = input;
-    const room = this.#maxAtOnce - countChanging(input);
+    const allowed = this.#maxAtOnce - countChanging(input);
     const work = resolveWork(demand, rates);
-    if (room <= 0 || work === 0 || engines.length < 2) return [];
-    const reading = demand.promptTokensPerSecond / rates.promptTokensPerSecond / work;
-    const wanted = Math.round(reading * engines.length);
+    if (allowed <= 0 || work === 0 || engines.length < 2) return [];
+    const prefillShare = demand.promptTokensPerSecond / rates.promptTokensPerSecond / work;
+    const wanted = Math.round(prefillShare * engines.length);
     const prefill = Math.min(engines.length - 1, Math.max(1, wanted));
     const counts = { prefill, decode: engines.length - prefill, mixed: 0 };
-    return resolveNextChanges(engines, counts, room);
+    return resolveNextChanges(engines, counts, allowed);
   }
 }
 
@@ -110,8 +108,8 @@
   return changing;
 }
 
-/** Work served with these roles, in engines. What is beyond the demand and its headroom is worth nothing. */
-function resolveWorth(counts: RoleCounts, { demand, rates }: PlanInput): number {
+/** Work served with these roles, in engines. Capacity beyond demand and headroom adds no value. */
+function resolveServedWork(counts: RoleCounts, { demand, rates }: PlanInput): number {
   const served = Math.min(1, resolveServedShare(counts, demand, rates) / HEADROOM);
   return served * resolveWork(demand, rates);
 }
--- a/src/planner/role-planning.ts
+++ b/src/planner/role-planning.ts
@@ -1,6 +1,6 @@
 /**
- * The task that plans the roles of one held shard's engines, group by group, and has the changes
- * carried out by the shard's orders.
+ * Periodic task that plans the roles of a held shard's engines, group by group. The shard's orders
+ * carry out the changes.
  */
 import type { Result } from 'ts-results-es';
 import type { EngineGroup } from '../configuration/index.js';
@@ -12,36 +12,36 @@
 import type { Demand, PlannedEngine, PlanInput, RoleChange, RoleRates } from './plan.js';
 import { CostedPlanner, EagerPlanner, type PlannerTerms, type RolePlanner } from './planners.js';
 
-/** What planning needs. */
+/** Dependencies of role planning. */
 export interface RolePlanningParts {
   clock: Clock;
   holder: Pick<ShardHolder, 'servers' | 'demand'>;
-  /** The groups of the configuration in force. */
+  /** The groups of the current configuration. */
   groups(): Iterable<EngineGroup>;
   isMember(group: EngineGroup, vm: Vm): boolean;
-  /** Whether planners follow the mix at once, for measurements only. */
+  /** Whether to use `EagerPlanner`, for measurements only. */
   isEager: boolean;
-  /** Brings an engine into a state; settles when it took effect or was given up. */
+  /** Changes an engine's setup; resolves when the change took effect or was given up. */
   change(server: string, wanted: Order['wanted']): Promise<Result<void, Failure>>;
 }
 
-/** The planning of one shard. */
+/** Role planning of one shard. */
 export interface RolePlanning {
   start(): void;
   stop(): void;
 }
 
-/** Time between two looks at the groups. */
-const PLAN_EVERY_MS = 1_000;
-/** Demand that an eager planner looks at. */
+const PLAN_INTERVAL_MS = 1_000;
+/** Horizon over which the eager planner averages demand. */
 const EAGER_HORIZON_MS = 2_000;
-/** Time that a role change takes until one was seen. */
+/** Assumed downtime of a role change, until one has been measured. */
 const INITIAL_DOWNTIME_MS = 3_000;
+/** Weight of the newest downtime in the moving average. */
 const NEWEST_WEIGHT = 0.3;
 const MS_PER_SECOND = 1_000;
 
 /**
- * Creates the planning of a shard.
+ * Creates the role planning of a shard.
  *
  * @param parts the shard's holder and orders
  */
@@ -49,7 +49,7 @@
   const { clock, holder } = parts;
   const changing = new Set<string>();
   const plannedAt = new Map<string, number>();
-  const beganAt = clock.now();
+  const createdAt = clock.now();
   let downtimeMs = INITIAL_DOWNTIME_MS;
   let timer: Timer | undefined;
 
@@ -57,14 +57,14 @@
     for (const group of parts.groups()) {
       if (group.roles !== undefined) planGroup(group, group.roles);
     }
-    timer = clock.after(PLAN_EVERY_MS, step);
+    timer = clock.after(PLAN_INTERVAL_MS, step);
   }
 
   function planGroup(group: EngineGroup, terms: PlannerTerms): void {
     const now = clock.now();
-    const periodMs = parts.isEager ? PLAN_EVERY_MS : terms.horizonMs / 2;
-    // A plan is made from a whole horizon of demand, and not again until much of it is new.
-    if (now - (plannedAt.get(group.name) ?? beganAt) < periodMs) return;
+    const periodMs = parts.isEager ? PLAN_INTERVAL_MS : terms.horizonMs / 2;
+    // Plans again only after half of the horizon, when much of the averaged demand is new.
+    if (now - (plannedAt.get(group.name) ?? createdAt) < periodMs) return;
     const members = listMembers(group);
     if (members.length === 0) return;
     const changes = createPlanner(terms, parts.isEager).plan(createInput(group, members, terms));
@@ -143,8 +143,9 @@
 };
 
 /**
- * Mean rates of engines that do one thing only. An engine with that role is measured; of the others
- * the engine's own word is taken, for what they measure is slowed by the other half of their work.
+ * Mean rates of an engine that does only prefill or only decode. Measured rates are used only for
+ * engines in that role, and the reported rates for the others, whose other work lowers the measured
+ * rates.
  */
 function resolveRates(members: readonly Server[], now: number): RoleRates {
   let prompt = 0;
@@ -170,7 +171,7 @@
 
 function resolveOutputRate(server: Server, now: number): number {
   const batch = resolveTypicalBatch(server, now, unbounded);
-  const nominal = batch * server.decodeTokensPerSecond;
-  if (server.role !== 'decode') return nominal;
-  return Math.min(nominal, (batch * MS_PER_SECOND) / server.rates.stepMs(batch, now));
+  const reported = batch * server.decodeTokensPerSecond;
+  if (server.role !== 'decode') return reported;
+  return Math.min(reported, (batch * MS_PER_SECOND) / server.rates.stepMs(batch, now));
 }
--- a/test/planner/planner.test.ts
+++ b/test/planner/planner.test.ts
@@ -35,11 +35,11 @@
   return { engines: createEngines(roles), demand, rates, downtimeMs: DOWNTIME_MS, ...more };
 }
 
-/** Demand for so many engines' work, of which a share is reading prompts. */
-function createDemand(engines: number, reading: number): Demand {
+/** Demand that keeps a number of engines busy, with the input share of prefill work. */
+function createDemand(engines: number, prefillShare: number): Demand {
   return {
-    promptTokensPerSecond: engines * reading * rates.promptTokensPerSecond,
-    outputTokensPerSecond: engines * (1 - reading) * rates.outputTokensPerSecond,
+    promptTokensPerSecond: engines * prefillShare * rates.promptTokensPerSecond,
+    outputTokensPerSecond: engines * (1 - prefillShare) * rates.outputTokensPerSecond,
   };
 }
 
@@ -52,8 +52,12 @@
   outputTokensPerSecond: fc.integer({ min: 0, max: 30_000 }),
 });
 
-/** Lets the mix swing to and fro; a change takes effect after the time away. */
-function countSwingChanges(planner: RolePlanner, horizonMs: number, periodMs: number): number {
+/** Counts the role changes while demand alternates between decode-heavy and prefill-heavy. */
+function countChangesUnderSwings(
+  planner: RolePlanner,
+  horizonMs: number,
+  periodMs: number,
+): number {
   const meter = createDemandMeter(0);
   const engines = createEngines(['prefill', 'prefill', 'decode', 'decode', 'decode', 'decode']);
   let changes = 0;
@@ -80,8 +84,8 @@
   return changes;
 }
 
-describe('the planner of roles', () => {
-  it('leaves mixed engines alone whatever the mix, as no role serves more', () => {
+describe('the role planner', () => {
+  it('keeps mixed engines for any demand if dedicated roles serve no more', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 10 }), demands, (count, demand) => {
         const input = createInput(Array<Role>(count).fill('mixed'), demand);
@@ -90,35 +94,35 @@
     );
   });
 
-  it('gives roles where mixed work costs more than it gains', () => {
+  it('assigns dedicated roles if mixed engines are inefficient', () => {
     const costly = { rates: { ...rates, mixedEfficiency: 0.5 } };
     const input = createInput(Array<Role>(6).fill('mixed'), createDemand(6, 0.5), costly);
     expect(new CostedPlanner(usualTerms).plan(input).length).to.equal(1);
   });
 
-  it('never serves less by a plan, nor begins more changes at once than allowed', () => {
-    const input = fc.record({
+  it('never reduces the served share, nor begins more changes than allowed', () => {
+    const inputs = fc.record({
       roles: roleLists,
       demand: demands,
       maxAtOnce: fc.integer({ min: 1, max: 3 }),
       changing: fc.nat(3),
     });
     fc.assert(
-      fc.property(input, ({ roles, demand, maxAtOnce, changing }) => {
+      fc.property(inputs, ({ roles, demand, maxAtOnce, changing }) => {
         const engines = createEngines(roles);
         for (const engine of engines.slice(0, changing)) engine.isChanging = true;
         const planner = new CostedPlanner({ ...usualTerms, maxAtOnce: 99 });
         const bounded = new CostedPlanner({ ...usualTerms, maxAtOnce });
-        const given = { engines, demand, rates, downtimeMs: DOWNTIME_MS };
-        const under = engines.filter(({ isChanging }) => isChanging).length;
-        const begun = bounded.plan(given);
-        expect(begun.length).to.be.at.most(Math.max(0, maxAtOnce - under));
-        for (const { engine } of begun) {
+        const input = { engines, demand, rates, downtimeMs: DOWNTIME_MS };
+        const inProgress = engines.filter(({ isChanging }) => isChanging).length;
+        const changes = bounded.plan(input);
+        expect(changes.length).to.be.at.most(Math.max(0, maxAtOnce - inProgress));
+        for (const { engine } of changes) {
           expect(engines.find(({ id }) => id === engine)?.isChanging).to.equal(false);
         }
-        if (under > 0) return;
+        if (inProgress > 0) return;
         const after = engines.map((engine) => ({ ...engine }));
-        for (const { engine, role } of planner.plan(given)) {
+        for (const { engine, role } of planner.plan(input)) {
           const changed = after.find(({ id }) => id === engine);
           if (changed !== undefined) changed.role = role;
         }
@@ -128,38 +132,38 @@
     );
   });
 
-  it('changes nothing more when a change costs more', () => {
-    const input = fc.record({
+  it('makes no more changes at a higher change cost', () => {
+    const inputs = fc.record({
       roles: roleLists,
       demand: demands,
       costs: fc.tuple(fc.integer({ min: 0, max: 60 }), fc.integer({ min: 0, max: 60 })),
     });
     fc.assert(
-      fc.property(input, ({ roles, demand, costs }) => {
-        const given = createInput(roles, demand);
+      fc.property(inputs, ({ roles, demand, costs }) => {
+        const input = createInput(roles, demand);
         const plan = (changeCost: number) =>
-          new CostedPlanner({ ...usualTerms, changeCost, maxAtOnce: 99 }).plan(given).length;
+          new CostedPlanner({ ...usualTerms, changeCost, maxAtOnce: 99 }).plan(input).length;
         expect(plan(Math.max(...costs))).to.be.at.most(plan(Math.min(...costs)));
       }),
     );
   });
 
-  it('does not follow a swing that is faster than its horizon, as the eager one does', () => {
+  it('ignores swings faster than its horizon, unlike the eager planner', () => {
     const horizonMs = 30_000;
     const planner = new CostedPlanner({ ...usualTerms, horizonMs });
-    const costed = countSwingChanges(planner, horizonMs, 20_000);
-    const eager = countSwingChanges(new EagerPlanner(1), 2_000, 20_000);
+    const costed = countChangesUnderSwings(planner, horizonMs, 20_000);
+    const eager = countChangesUnderSwings(new EagerPlanner(1), 2_000, 20_000);
     expect(costed).to.be.at.most(6);
     expect(eager).to.be.greaterThan(20 * costed);
   });
 
-  it('follows a mix that stays changed', () => {
-    const wrong: Role[] = ['prefill', 'prefill', 'prefill', 'prefill', 'decode'];
-    const input = createInput(wrong, createDemand(4, 0.2));
+  it('follows a lasting change of demand', () => {
+    const unsuitable: Role[] = ['prefill', 'prefill', 'prefill', 'prefill', 'decode'];
+    const input = createInput(unsuitable, createDemand(4, 0.2));
     expect(new CostedPlanner(usualTerms).plan(input).length).to.equal(1);
   });
 
-  it('reads demand over a horizon by class, refused requests included', async () => {
+  it('averages demand over a horizon by class, refused requests included', async () => {
     const drive = createHarness({ engines: [{ id: 'manual-1' }] });
     for (let second = 0; second < 10; second += 1) {
       drive.send({ class: 'verdict', firstTokenInMs: -1, promptTokens: 500, tokens: 20 });
@@ -170,13 +174,13 @@
     expect(demand?.outputTokensPerSecond).to.equal(20);
   });
 
-  it('has its changes carried out, with the models that the engine has', async () => {
+  it('carries out changes with the present models of the engine', async () => {
     const engines = ['manual-1', 'manual-2', 'manual-3'].map((id) => ({
       id,
       role: id === 'manual-1' ? ('prefill' as const) : ('decode' as const),
     }));
     const drive = createHarness({ engines });
-    const asked: string[] = [];
+    const requested: string[] = [];
     const planning = createRolePlanning({
       clock: drive.clock,
       holder: drive.holder,
@@ -191,7 +195,7 @@
         }),
       ],
       change(server, { role, models }) {
-        asked.push(`${server} ${role} ${models.join()}`);
+        requested.push(`${server} ${role} ${models.join()}`);
         return Promise.resolve(Ok(undefined));
       },
     });
@@ -203,6 +207,6 @@
       await drive.advance(1_000);
     }
     planning.stop();
-    expect(asked[0]).to.match(/^manual-[123] (mixed|decode) model$/);
+    expect(requested[0]).to.match(/^manual-[123] (mixed|decode) model$/);
   });
 });
