--- a/src/relay/service-placer.ts
+++ b/src/relay/service-placer.ts
@@ -63,7 +63,7 @@
 export interface ServicePlacementState {
   /** Whether the request may use the reserved part of a server's rate limit. */
   isUrgent: boolean;
-  backpressure: Pick<Backpressure, 'limits' | 'msUntilOpen' | 'allow'>;
+  backpressure: Pick<Backpressure, 'limits' | 'msUntilOpen' | 'acquireAllowance'>;
   servers: readonly RegisteredServer[];
   zone: string;
   health: FleetHealth;
@@ -107,7 +107,7 @@
       const server = select(state);
       if (server === undefined) return undefined;
       const isLimited = backpressure.limits.isLimited(server.id);
-      if (!isLimited || (await backpressure.allow(server.id, isUrgent))) return server;
+      if (!isLimited || (await backpressure.acquireAllowance(server.id, isUrgent))) return server;
     }
   }
 
