--- a/test/docs/identifiers.test.ts
+++ b/test/docs/identifiers.test.ts
@@ -1,4 +1,4 @@
-import { existsSync, readdirSync, readFileSync } from 'node:fs';
+import { existsSync, readdirSync, readFileSync, statSync } from 'node:fs';
 import path from 'node:path';
 import { expect } from 'chai';
 
@@ -31,9 +31,9 @@
 const WORD = /[A-Za-z_$][\w$]*/g;
 
 function listFiles(directory: string): string[] {
-  return readdirSync(directory, { recursive: true, withFileTypes: true })
-    .filter((entry) => entry.isFile())
-    .map((entry) => path.join(entry.parentPath, entry.name));
+  return readdirSync(directory, { recursive: true, encoding: 'utf8' })
+    .map((entry) => path.join(directory, entry))
+    .filter((file) => statSync(file).isFile());
 }
 
 function listPages(): string[] {
