--- a/src/gateway/peering.ts
+++ b/src/gateway/peering.ts
@@ -1,6 +1,6 @@
 /**
- * Handles messages from peers: exchanges routes and registry changes, and relays jobs between submitters and
- * schedulers.
+ * Handles messages from peers: exchanges routes and registry changes, relays jobs between submitters and
+ * schedulers, and passes messages on to the quarantine and to backpressure.
  */
 import { match } from 'ts-pattern';
 import type { Backpressure } from '../backpressure/index.js';
@@ -23,7 +23,7 @@
 import type { Followers } from './followers.js';
 import { packChanges, unpackChanges } from './registry-changes.js';
 
-/** New versions within this time are announced in one message, in ms. */
+/** Delay of an announcement, in ms. Versions that change within it are announced in one message. */
 const BATCH_MS = 10;
 
 /** Dependencies of the message handler. */
@@ -47,18 +47,18 @@
   received: (node: string, message: GatewayMessage) => void;
   /** Handles the versions of the store's contents that a peer has. */
   versionsReceived: (node: string, versions: StoreVersions) => void;
-  /** Handles the loss of a peer; its jobs here are finished. */
+  /** Handles the loss of a peer: finishes the jobs that it submitted here. */
   lost: (node: string) => void;
   /** Versions of the store's contents that this gateway has. */
   versions: () => StoreVersions;
-  /** Announces newer routes or registry changes to partners, in a large fleet. */
+  /** Announces the versions to partners shortly after; does nothing in a small fleet. */
   announce(): void;
 }
 
 /**
  * Creates the handler.
  *
- * @param parts the receivers of the messages
+ * @param parts dependencies of the handler
  */
 export function createPeering(parts: PeeringParts): Peering {
   const { clock, routes, fleet } = parts;
@@ -66,7 +66,7 @@
   const pack = createRoutesPacker();
   /** Jobs that peers submitted here: the service of each job id, by peer. */
   const jobsByPeer = new Map<string, Map<string, string>>();
-  let announcement: Timer | undefined;
+  let announceTimer: Timer | undefined;
 
   function versions(): StoreVersions {
     return { routes: routes.version(), fleet: fleet.revision() };
@@ -74,8 +74,8 @@
 
   function announce(): void {
     if (!parts.followers.isLargeFleet()) return;
-    announcement ??= clock.after(BATCH_MS, () => {
-      announcement = undefined;
+    announceTimer ??= clock.after(BATCH_MS, () => {
+      announceTimer = undefined;
       parts.overlay().broadcast({ kind: 'versions', ...versions() });
     });
   }
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Applies routes from a peer; of several copies of a version only the first is decompressed. */
+  /** Applies routes from a peer. Versions that are not newer are dropped before they are decompressed. */
   function applyRoutes(message: RoutesMessage): void {
     if (message.version <= parts.routes.version()) return;
     const text = unpackRoutes(message);
@@ -157,8 +157,8 @@
 
   function receive(node: string, message: GatewayMessage): void {
     match(message)
-      .with({ kind: 'versions' }, (versions) => {
-        versionsReceived(node, versions);
+      .with({ kind: 'versions' }, (theirs) => {
+        versionsReceived(node, theirs);
       })
       .with({ kind: 'want' }, (want) => {
         sendRequested(node, want);
@@ -190,16 +190,16 @@
         { kind: 'trial.granted' },
         { kind: 'trial.placed' },
         { kind: 'trial.ended' },
-        (notice) => {
-          parts.quarantine.received(node, notice);
+        (quarantineMessage) => {
+          parts.quarantine.received(node, quarantineMessage);
         },
       )
       .with(
         { kind: 'notices' },
         { kind: 'allowance.ask' },
         { kind: 'allowance.answer' },
-        (notice) => {
-          parts.backpressure.received(node, notice);
+        (backpressureMessage) => {
+          parts.backpressure.received(node, backpressureMessage);
         },
       )
       .with({ kind: 'job.queued' }, { kind: 'job.placed' }, { kind: 'job.declined' }, (answer) => {
@@ -209,7 +209,10 @@
   }
 
   return {
-    /** A failure to handle one message must not affect others; its sender retries elsewhere. */
+    /**
+     * Logs an exception of one message's handler, so that it does not affect other messages. The peer
+     * retries elsewhere.
+     */
     received(node, message) {
       try {
         receive(node, message);
--- a/src/orders/rows.ts
+++ b/src/orders/rows.ts
@@ -14,13 +14,13 @@
   fence: z.number().int().positive(),
   wanted: orderSchema.shape.wanted,
   /**
-   * The lease under which it may have been sent last; `null` once that holder provably can no
-   * longer send.
+   * The lease under which the order may have been sent last; `null` once its holder provably can
+   * no longer send.
    */
   by: leaseHolderSchema.nullable(),
-  /** `outstanding` from before it is sent until the engine is observed to have carried it out. */
+  /** `outstanding` from before the order is sent until the engine is observed to have carried it out. */
   state: z.enum(['outstanding', 'settled']),
-  /** The incarnation of the engine that carried it out; `null` while it is outstanding. */
+  /** The incarnation of the engine that carried the order out; `null` while it is outstanding. */
   incarnation: z.string().nullable(),
 });
 
@@ -29,7 +29,7 @@
 
 export const formerHolderSchema = z.object({
   holder: leaseHolderSchema,
-  /** Fencing number of the last order that it may have sent. */
+  /** Fencing number of the last order that the holder may have sent. */
   fence: z.number().int().positive(),
 });
 
@@ -40,7 +40,7 @@
   /** The highest fencing number of any order to this engine. */
   fence: z.number().int().nonnegative(),
   order: journalledOrderSchema.nullable(),
-  /** Holders before `order.by`. */
+  /** Holders before `order.by` that may still send orders. */
   formers: z.array(formerHolderSchema),
 });
 
@@ -60,7 +60,7 @@
 }
 
 /**
- * Whether two setups are equal, regardless of the order of models and adapters.
+ * Whether two setups are equal, regardless of the order and repetition of models and adapters.
  *
  * @param one a setup
  * @param other another setup
@@ -74,7 +74,7 @@
 }
 
 /**
- * The part of an engine's state that orders change.
+ * Returns the part of an engine's state that orders change.
  *
  * @param state the state that the engine reports
  */
--- a/src/peers/routes-message.ts
+++ b/src/peers/routes-message.ts
@@ -1,13 +1,13 @@
 /**
- * The message with which gateways relay routes. The document is compressed, since a table of some thousand
- * routes has hundreds of kilobytes; its version lets a receiver skip one that it already has.
+ * The message with which gateways relay routes. The document is compressed, since a table of a few thousand
+ * routes takes hundreds of kilobytes; the version lets a receiver skip a document that it already has.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Err, Ok, type Result } from 'ts-results-es';
 import * as z from 'zod';
 import type { RoutingDocument } from '../routing/index.js';
 
-/** Largest decompressed document, in bytes; well above the largest row of the store. */
+/** Maximum size of a decompressed document, in bytes. Must exceed the largest row of the store. */
 const MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
 export const routesMessageSchema = z.object({
@@ -34,7 +34,7 @@
  * Decompresses the text of a document.
  *
  * @param message as received from a peer
- * @returns the text, or why it cannot be decompressed
+ * @returns the text, or the error of the decompression
  */
 export function unpackRoutes({ packed }: RoutesMessage): Result<string, string> {
   try {
--- a/src/peers/updates.ts
+++ b/src/peers/updates.ts
@@ -8,7 +8,7 @@
 export type PeerUpdate =
   { kind: 'state'; record: GatewayState } | { kind: 'suspicion'; record: GatewaySuspicion };
 
-/** Which updates supersede each other. */
+/** An update supersedes those of the same kind and node that have a lower sequence number. */
 export const peerUpdateOrder: ItemOrder<PeerUpdate> = {
   key: ({ kind, record }) => `${kind}/${record.node}`,
   version: ({ record }) => record.sequence,
--- a/src/planner/plan.ts
+++ b/src/planner/plan.ts
@@ -5,7 +5,7 @@
  */
 import type { Role } from '../ports/index.js';
 
-/** Demand of a group. */
+/** Demand on a group of engines. */
 export interface Demand {
   promptTokensPerSecond: number;
   outputTokensPerSecond: number;
@@ -54,7 +54,8 @@
 }
 
 /**
- * Estimates the share of a demand that engines can serve; above 1 if capacity exceeds demand.
+ * Estimates the share of a demand that engines can serve; above 1 if capacity exceeds demand,
+ * infinite if there is no demand.
  *
  * @param counts number of engines in each role
  * @param demand the demand
@@ -63,11 +64,11 @@
 export function resolveServedShare(counts: RoleCounts, demand: Demand, rates: RoleRates): number {
   const work = resolveWork(demand, rates);
   if (work === 0) return Number.POSITIVE_INFINITY;
-  const prefillShare = divide(
+  const prefillShare = resolveShare(
     counts.prefill * rates.promptTokensPerSecond,
     demand.promptTokensPerSecond,
   );
-  const decodeShare = divide(
+  const decodeShare = resolveShare(
     counts.decode * rates.outputTokensPerSecond,
     demand.outputTokensPerSecond,
   );
@@ -100,7 +101,7 @@
 }
 
 /**
- * Counts the engines that have to change their role.
+ * Counts the engines that have to change their role. Both counts have the same total.
  *
  * @param from the present roles
  * @param to the wanted roles
@@ -149,6 +150,6 @@
 
 const roles = ['mixed', 'prefill', 'decode'] as const satisfies Role[];
 
-function divide(supply: number, required: number): number {
-  return required === 0 ? Number.POSITIVE_INFINITY : supply / required;
+function resolveShare(capacity: number, demand: number): number {
+  return demand === 0 ? Number.POSITIVE_INFINITY : capacity / demand;
 }
--- a/src/planner/planners.ts
+++ b/src/planner/planners.ts
@@ -21,7 +21,7 @@
 export interface PlannerTerms {
   /** Additional cost of a role change, in engine seconds; higher means fewer changes. */
   changeCost: number;
-  /** Time ahead for which a gain counts and time back over which demand is averaged, in ms. */
+  /** Time over which the gain of a change is counted, and past time over which demand is averaged, in ms. */
   horizonMs: number;
   /** Maximum number of engines that change at the same time. */
   maxAtOnce: number;
@@ -29,7 +29,7 @@
 
 /** Planned capacity relative to the mean demand. */
 const HEADROOM = 1.15;
-/** Required ratio of gain to cost; prevents oscillation between plans of equal value. */
+/** Required ratio of gain to cost; prevents oscillation between plans of nearly equal value. */
 const HYSTERESIS = 1.25;
 const MS_PER_SECOND = 1_000;
 
@@ -69,7 +69,7 @@
     return best;
   }
 
-  /** Time within the horizon that remains after the changes, `maxAtOnce` of them at a time. */
+  /** Time within the horizon that remains after the changes, `maxAtOnce` at a time, in seconds. */
   #gainSeconds(changes: number, { downtimeMs }: PlanInput): number {
     const rounds = Math.ceil(changes / this.#terms.maxAtOnce);
     return Math.max(0, this.#terms.horizonMs - rounds * downtimeMs) / MS_PER_SECOND;
@@ -78,7 +78,7 @@
 
 /**
  * Follows the ratio of prefill to decode demand immediately and regardless of cost, without mixed
- * engines. A baseline for measurements of `CostedPlanner`.
+ * engines. A baseline for comparison with `CostedPlanner`.
  */
 export class EagerPlanner implements RolePlanner {
   readonly #maxAtOnce: number;
@@ -108,7 +108,7 @@
   return changing;
 }
 
-/** Work served with these roles, in engines. Capacity beyond demand and headroom adds no value. */
+/** Work served with these roles, in fully busy engines. Capacity beyond demand and headroom adds no value. */
 function resolveServedWork(counts: RoleCounts, { demand, rates }: PlanInput): number {
   const served = Math.min(1, resolveServedShare(counts, demand, rates) / HEADROOM);
   return served * resolveWork(demand, rates);
--- a/src/quarantine/fingerprint.ts
+++ b/src/quarantine/fingerprint.ts
@@ -1,12 +1,13 @@
 /**
  * Fingerprint by which a repeated request is recognised: method, host, path with query, and body. The caller's request
- * id is left out because it differs with each attempt, and the parts of a prompt because many requests share them.
+ * id is left out because it differs with each attempt, and the ids of the prompt's parts because many requests share
+ * them.
  */
 import { createHash } from 'node:crypto';
 
 /** Hexadecimal digits of the prefix. Requests with different prefixes are told apart without hashing their bodies. */
 const PREFIX_DIGITS = 8;
-/** Hexadecimal digits of the body's digest: 96 bits, so that a collision cannot be found on purpose. */
+/** Hexadecimal digits of the body's digest: 96 bits, so that no second body can be found for a given digest. */
 const BODY_DIGITS = 24;
 
 /** A request's content. */
@@ -20,9 +21,9 @@
 
 /** Identifies a request by its content; each part is computed on first use. */
 export interface Fingerprint {
-  /** Digest of everything but the bytes of the body. */
+  /** Digest of the method, host, path and body length. */
   prefix: () => string;
-  /** The prefix, followed by a digest of the body; takes about 2 µs per kilobyte of body. */
+  /** The prefix, followed by a digest of the body. Hashes the whole body, about 2 µs per kilobyte. */
   full: () => string;
 }
 
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -9,7 +9,7 @@
   cleared: z.number(),
   crashes: z.number(),
   discounted: z.number().default(0),
-  /** Time since the last change, in ms; a relative time, because clocks differ. */
+  /** Time since the last change, in ms; relative, because the gateways' clocks differ. */
   ageMs: z.number(),
   /** The server whose crash was just counted. */
   server: z.string().optional(),
@@ -18,7 +18,7 @@
 /** A record as it is sent and stored. */
 export type CrashRow = z.infer<typeof crashRowSchema>;
 
-/** A row without field names, to keep messages small: a hundred servers that crash at once make 1,600 rows. */
+/** A row without field names, to keep messages small when many servers crash at once. */
 const crashTupleSchema = z.tuple([
   z.string(),
   z.number(),
@@ -56,8 +56,8 @@
 /**
  * Converts a record to a row.
  *
- * @param record of this gateway
- * @param now this gateway's clock, in ms
+ * @param record a record of this gateway
+ * @param now the time on this gateway's clock, in ms
  */
 export function toCrashRow({ at, ...record }: CrashRecord, now: number): CrashRow {
   return { ...record, ageMs: now - at };
@@ -66,8 +66,8 @@
 /**
  * Converts a row to a record.
  *
- * @param row from a peer or from the platform
- * @param now this gateway's clock, in ms
+ * @param row a row from a peer or from the platform
+ * @param now the time on this gateway's clock, in ms
  */
 export function fromCrashRow(row: CrashRow, now: number): CrashRecord {
   const { fingerprint, cleared, crashes, discounted, ageMs } = row;
--- a/src/quarantine/trial-coordinator.ts
+++ b/src/quarantine/trial-coordinator.ts
@@ -19,11 +19,11 @@
 export interface TrialCoordinator {
   /** Requests a trial; returns whether it may start now. Otherwise it is queued behind the running trial. */
   enqueue(request: TrialRequest): boolean;
-  /** A trial was placed on a server. */
+  /** Records the server on which a trial runs. */
   placed(node: string, id: string, server: string): void;
-  /** A trial has ended or was cancelled. Returns the one that may start now. */
+  /** Removes a trial that has ended or was cancelled. Returns the one that may start now. */
   ended(node: string, id: string): TrialRequest | undefined;
-  /** A gateway and its trials are lost. Returns the trials that may start now. */
+  /** Removes the trials of a lost gateway. Returns the trials of other gateways that may start now. */
   lost(node: string): TrialRequest[];
   /** Servers on which other trials of the service run. */
   serversOfOtherTrials(request: TrialRequest): string[];
@@ -37,10 +37,10 @@
 
 /** Creates a coordinator without trials. */
 export function createTrialCoordinator(): TrialCoordinator {
-  /** In the order of their requests. */
+  /** By gateway and id, in the order in which they were requested. */
   const trials = new Map<string, TrialState>();
 
-  function isOnTrial({ service, fingerprint }: TrialRequest): boolean {
+  function isTrialRunning({ service, fingerprint }: TrialRequest): boolean {
     for (const { request, isRunning } of trials.values()) {
       if (isRunning && request.fingerprint === fingerprint && request.service === service)
         return true;
@@ -49,7 +49,7 @@
   }
 
   function startNext(previous: TrialRequest): TrialRequest | undefined {
-    if (isOnTrial(previous)) return undefined;
+    if (isTrialRunning(previous)) return undefined;
     for (const trial of trials.values()) {
       const { request } = trial;
       if (request.fingerprint !== previous.fingerprint || request.service !== previous.service)
@@ -61,20 +61,20 @@
   }
 
   function ended(node: string, id: string): TrialRequest | undefined {
-    const trial = trials.get(resolveKey(node, id));
+    const trial = trials.get(trialKey(node, id));
     if (trial === undefined) return undefined;
-    trials.delete(resolveKey(node, id));
+    trials.delete(trialKey(node, id));
     return startNext(trial.request);
   }
 
   return {
     enqueue(request) {
-      const isRunning = !isOnTrial(request);
-      trials.set(resolveKey(request.node, request.id), { request, isRunning, server: undefined });
+      const isRunning = !isTrialRunning(request);
+      trials.set(trialKey(request.node, request.id), { request, isRunning, server: undefined });
       return isRunning;
     },
     placed(node, id, server) {
-      const trial = trials.get(resolveKey(node, id));
+      const trial = trials.get(trialKey(node, id));
       if (trial !== undefined) trial.server = server;
     },
     ended,
@@ -82,22 +82,23 @@
       const next: TrialRequest[] = [];
       for (const { request } of [...trials.values()]) {
         if (request.node !== node) continue;
+        // May start another trial of the lost gateway, which is then removed in a later iteration.
         const started = ended(node, request.id);
         if (started !== undefined && started.node !== node) next.push(started);
       }
       return next;
     },
     serversOfOtherTrials({ service, node, id }) {
-      const found = new Set<string>();
+      const servers = new Set<string>();
       for (const { request, server } of trials.values()) {
         const isOwn = request.node === node && request.id === id;
-        if (server !== undefined && request.service === service && !isOwn) found.add(server);
+        if (server !== undefined && request.service === service && !isOwn) servers.add(server);
       }
-      return [...found];
+      return [...servers];
     },
   };
 }
 
-function resolveKey(node: string, id: string): string {
+function trialKey(node: string, id: string): string {
   return `${node}/${id}`;
 }
--- a/test/claims/claims.test.ts
+++ b/test/claims/claims.test.ts
@@ -74,12 +74,12 @@
       wallClock: () => time.clock.now(),
       hasLeaseEnded: (claimer) => Promise.resolve(endedLeases.has(claimer)),
     });
-  const request = (more: Partial<ClaimRequest> = {}): ClaimRequest => {
-    return { team: 'kumasi', key: 'k', requestId: `r${(ids += 1)}`, bodyHash: 'h', ...more };
+  const request = (overrides: Partial<ClaimRequest> = {}): ClaimRequest => {
+    return { team: 'kumasi', key: 'k', requestId: `r${(ids += 1)}`, bodyHash: 'h', ...overrides };
   };
-  const rowOf = () =>
+  const readRow = () =>
     parseClaimRow(control.rows.get(claimRowKey({ team: 'kumasi', key: 'k' }))?.value);
-  return { table, control, objects, ...time, endedLeases, createNode, request, rowOf };
+  return { table, control, objects, ...time, endedLeases, createNode, request, readRow };
 }
 
 function createAnswer(text: string, status = 200): ServiceAnswer {
@@ -178,17 +178,17 @@
   });
 
   it('stores pending outcomes before it stops', async () => {
-    const { createNode, request, runUntil, control, rowOf } = setUp();
+    const { createNode, request, runUntil, control, readRow } = setUp();
     const one = createNode('n1');
     const claim = claimOf(await runUntil(one.claim(request())));
     control.down = true;
     await runUntil(one.settle(claim, Ok(createAnswer('page'))));
     control.down = false;
     await runUntil(one.stop(5_000));
-    expect(rowOf()?.state).to.equal('answered');
+    expect(readRow()?.state).to.equal('answered');
   });
 
-  /** One attempt, with the faults of its writes and what happens to its node. */
+  /** One attempt: its node, the faults of its writes and its outcome. */
   const anyAttempt = fc.record({
     node: fc.constantFrom('n1', 'n2'),
     faults: fc.array(
@@ -214,7 +214,7 @@
           ['n1', createNode('n1')],
           ['n2', createNode('n2')],
         ]);
-        const ran: string[] = [];
+        const executedIds: string[] = [];
         const answeredUnknown: string[] = [];
         const answers: ClaimAnswer[] = [];
         const run = async (item: (typeof attempts)[number]) => {
@@ -229,8 +229,8 @@
           }
           if (answer.kind !== 'claimed' || endedLeases.has(item.node)) return;
           if (answeredUnknown.length > 0)
-            throw new Error('claimed after its outcome was answered as unknown');
-          if (item.outcome !== 'not-sent') ran.push(attempt.requestId);
+            throw new Error('key claimed after a call was answered with outcome-unknown');
+          if (item.outcome !== 'not-sent') executedIds.push(attempt.requestId);
           if (item.outcome === 'node dies') endedLeases.add(item.node);
           else if (item.outcome === 'answered') {
             await claims.settle(answer.claim, Ok(createAnswer(attempt.requestId)));
@@ -249,9 +249,9 @@
         await advance(10_000);
         await Promise.all(running);
         await settle();
-        expect(ran.length, 'runs').to.be.at.most(1);
+        expect(executedIds.length, 'runs').to.be.at.most(1);
         for (const answer of answers) {
-          if (answer.kind === 'answered') expect([textOf(answer)]).to.deep.equal(ran);
+          if (answer.kind === 'answered') expect([textOf(answer)]).to.deep.equal(executedIds);
         }
       }),
       { numRuns: 150, seed: 7 },
@@ -274,7 +274,7 @@
     });
   }
 
-  async function fill(parts: ReturnType<typeof setUp>, count: number, text: string) {
+  async function storeAnswers(parts: ReturnType<typeof setUp>, count: number, text: string) {
     const claims = parts.createNode('n1');
     for (let index = 0; index < count; index++) {
       const claimRequest = parts.request({ key: `k${index}` });
@@ -285,7 +285,7 @@
 
   it('removes rows and bodies after their retention, and none before', async () => {
     const parts = setUp();
-    await fill(parts, 3, 'an answer that is long');
+    await storeAnswers(parts, 3, 'an answer that is long');
     createSweep('n1', parts, ['n1']).start();
     await parts.advance(RETENTION_MS / 2);
     expect([parts.control.rows.size, parts.objects.control.stored.size]).to.deep.equal([3, 3]);
@@ -295,13 +295,14 @@
 
   it('sweeps each key range at one node', async () => {
     const parts = setUp();
-    await fill(parts, 3, 'x');
+    await storeAnswers(parts, 3, 'x');
     await parts.advance(RETENTION_MS + 1);
     const alive = ['n1', 'n2', 'n3'];
     const before = parts.control.reads;
     for (const node of alive) createSweep(node, parts, alive).start();
     await parts.advance(75_000);
     expect(parts.control.rows.size).to.equal(0);
+    // One read for each of the 36 first characters of team names.
     expect(parts.control.reads - before).to.equal(36);
   });
 });
--- a/test/gateway/leaving-servers.test.ts
+++ b/test/gateway/leaving-servers.test.ts
@@ -1,5 +1,5 @@
-// Guards against gateways that keep sending to a server that is leaving until the registry reports it, which takes long
-// while the store is unavailable.
+// Guards against gateways that keep sending to a leaving server until the registry reports it. While the store is
+// unavailable, that report is late.
 import { expect } from 'chai';
 import type { ScriptedAnswer } from '../../stand-ins/users-platform/index.js';
 import { until, type GatewayFixture } from '../fixtures/gateway.js';
@@ -9,11 +9,11 @@
   type SignallingFleet,
 } from '../fixtures/signalling-fleet.js';
 
-const failing: ScriptedAnswer = (request, response) => {
+const failWith500: ScriptedAnswer = (request, response) => {
   const id = String(request.headers['x-request-id']);
   response.writeHead(500, { 'X-Request-Id': id, 'X-Server-Signature': 's' }).end('broken');
 };
-const full: ScriptedAnswer = (_request, response) => {
+const rejectAsFull: ScriptedAnswer = (_request, response) => {
   response.writeHead(503, { 'X-Not-Executed': '1' }).end();
 };
 
@@ -26,7 +26,7 @@
   afterEach(() => fleet.close());
 
   const announcements: readonly [
-    where: string,
+    response: string,
     id: string,
     path: string,
     script?: ScriptedAnswer,
@@ -34,8 +34,8 @@
     ['a success', 'p0', '/any/7'],
     ['the head of a stream', 'g0', '/single/7'],
     ['the response to a prefill', 'r0', '/single/7'],
-    ['a failure', 'p0', '/any/7', failing],
-    ['a refusal', 'p0', '/any/7', full],
+    ['a failure', 'p0', '/any/7', failWith500],
+    ['a rejection', 'p0', '/any/7', rejectAsFull],
   ];
   it('gets no more requests from any gateway after announcing it in a response to a platform call', async () => {
     const engine = await fleet.addEngine('g2', { 'Server-Leaving': '1' });
@@ -48,8 +48,8 @@
     expect(engine.received().length).to.equal(before);
   }).timeout(8_000);
 
-  for (const [where, id, path, script] of announcements) {
-    it(`gets no more requests from any gateway after announcing it in ${where}`, async () => {
+  for (const [response, id, path, script] of announcements) {
+    it(`gets no more requests from any gateway after announcing it in ${response}`, async () => {
       const server = fleet.serverOf(id);
       server.say({ 'Server-Leaving': '1' });
       if (script !== undefined) server.script(script);
--- a/test/orders/interleavings.test.ts
+++ b/test/orders/interleavings.test.ts
@@ -1,3 +1,4 @@
+// Guards against conflicting orders when holders pause, crash or lose messages and the table is slow or unavailable.
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { engineRowSchema } from '../../src/orders/index.js';
@@ -53,13 +54,13 @@
 
 type Trial = typeof trials extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Mechanisms that a control disables. */
+/** Safeguards that a control test disables. */
 interface Disabled {
   shardCondition?: boolean;
   formersRule?: boolean;
 }
 
-const allCleared = {
+const clearedFormers = {
   isCleared: () => Promise.resolve(true),
   trackSend: <Value>(_engine: string, send: () => Promise<Value>) => send(),
 };
@@ -67,14 +68,14 @@
 /**
  * Runs a trial: each new holder takes the shard while the previous one continues as if its lease
  * were valid, paused or not. Returns the orders that the engine received, the orders journalled
- * without authority, and the final journal and state.
+ * by nodes that had lost the shard, and the final journal and state.
  */
 async function runTrial(checksFence: boolean, trial: Trial, disabled: Disabled = {}) {
   const bench = createOrderBench(checksFence);
   const { engine, control, clock, advance } = bench;
   const random = createSeededRandom(trial.seed);
   /** Orders journalled by a node after another one had taken the shard. */
-  const unauthorized: string[] = [];
+  const journalledAfterLoss: string[] = [];
   const watched: TableService = {
     ...bench.table,
     async transact(transaction) {
@@ -84,7 +85,8 @@
       for (const { key, value } of transaction.puts) {
         if (!key.startsWith('engines/')) continue;
         const { order } = engineRowSchema.parse(value);
-        if (order?.state === 'outstanding' && order.by?.node !== owner) unauthorized.push(order.id);
+        if (order?.state === 'outstanding' && order.by?.node !== owner)
+          journalledAfterLoss.push(order.id);
       }
       return outcome;
     },
@@ -96,14 +98,14 @@
     maxDelayMs: 3_000,
     timeoutMs: 1_000,
   });
-  const setting = {
+  const holderOptions = {
     table: disabled.shardCondition === true ? withoutShardCondition(unsteady) : unsteady,
-    ...(disabled.formersRule === true ? { formers: allCleared } : {}),
+    ...(disabled.formersRule === true ? { formers: clearedFormers } : {}),
   };
   let holders = 0;
   const nextHolder = () => {
     holders += 1;
-    return bench.hold(`n${holders}`, setting);
+    return bench.hold(`n${holders}`, holderOptions);
   };
   let current = await nextHolder();
   const steps = trial.isPausedFirst ? [...pausedHolder, ...trial.steps] : trial.steps;
@@ -129,7 +131,7 @@
   await advance(40_000);
   return {
     received: engine.control.received,
-    unauthorized,
+    journalledAfterLoss,
     row: bench.row,
     state: engine.control.state(),
   };
@@ -158,25 +160,28 @@
 
 function findViolations(outcome: Awaited<ReturnType<typeof runTrial>>): string[] {
   const violations: string[] = [];
-  if (countConflicts(outcome.received) > 0) violations.push('an older order after a newer one');
+  if (countConflicts(outcome.received) > 0)
+    violations.push('an older order taken after a newer one');
   const byFence = new Map<number, string>();
   for (const { order, result, whileBusy } of outcome.received) {
-    if (result === 'taken' && whileBusy) violations.push('an order during another');
-    const known = byFence.get(order.fence) ?? order.orderId;
-    if (known !== order.orderId) violations.push('two orders with the same fencing number');
-    byFence.set(order.fence, known);
+    if (result === 'taken' && whileBusy)
+      violations.push('an order taken while another was in progress');
+    const firstId = byFence.get(order.fence) ?? order.orderId;
+    if (firstId !== order.orderId) violations.push('two orders with the same fencing number');
+    byFence.set(order.fence, firstId);
   }
-  if (outcome.unauthorized.length > 0) violations.push('an order journalled without authority');
+  if (outcome.journalledAfterLoss.length > 0)
+    violations.push('an order journalled by a node that had lost the shard');
   return violations;
 }
 
 describe('orders in random interleavings', () => {
   for (const checksFence of [true, false]) {
-    const kind = checksFence ? 'checks' : 'ignores';
-    it(`never conflict and finally settle on an engine that ${kind} fencing numbers`, async () => {
+    const behaviour = checksFence ? 'checks' : 'ignores';
+    it(`never conflict and are finally carried out on an engine that ${behaviour} fencing numbers`, async () => {
       await fc.assert(
         fc.asyncProperty(trials, async (trial) => {
-          // An engine that loses its fencing number in a crash temporarily ignores fencing numbers.
+          // Without crashes: an engine loses its fencing number in a crash and may then accept an older order.
           const steps = checksFence
             ? trial.steps.filter(({ what }) => what.kind !== 'crash')
             : trial.steps;
