--- a/src/caller/tracker.ts
+++ b/src/caller/tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks a request until it ends: counts it in flight, stores its status, and counts and logs its
+ * Tracks a request until it ends: counts it as in flight, stores its status, and counts and logs its
  * outcome once.
  */
 import { createUnknownOutcome, type Failure } from '../errors/index.js';
@@ -15,7 +15,7 @@
 /**
  * Starts to track a request.
  *
- * @param parts the node's request statuses and metrics
+ * @param parts the node's request statuses, metrics and log
  * @param requestId the request's id
  * @param team the team that sent it
  * @param className its class, for the metrics
@@ -58,11 +58,11 @@
 
 /**
  * Runs the work of a request. If it throws, the request is ended as failed, so that it does not stay
- * counted in flight.
+ * counted as in flight.
  *
  * @param tracker the request's tracker
- * @param node this node, for the failure
- * @param work the work
+ * @param node the node that the failure names as its peer
+ * @param work a step of handling the request
  */
 export async function runTracked<Value>(
   tracker: RequestTracker,
@@ -80,7 +80,7 @@
 /**
  * Creates the failure of a request whose handler threw.
  *
- * @param node this node
+ * @param node the node that the failure names as its peer
  */
 export function createInternalFailure(node: string): Failure {
   return createUnknownOutcome({
--- a/src/permits/ordered-heap.ts
+++ b/src/permits/ordered-heap.ts
@@ -13,7 +13,7 @@
   update(item: Item): void;
   has(item: Item): boolean;
   size(): number;
-  /** All items, in no order. */
+  /** All items, in no particular order; the heap must not change during the iteration. */
   items(): Iterable<Item>;
 }
 
@@ -57,12 +57,13 @@
     put(item, position);
   }
 
+  /** Position of the child that goes before the other one. */
   function firstChild(position: number): number {
-    const left = position * 2 + 1;
-    const one = heap[left];
-    const other = heap[left + 1];
-    if (one === undefined || other === undefined) return left;
-    return isBefore(other, one) ? left + 1 : left;
+    const leftPosition = position * 2 + 1;
+    const left = heap[leftPosition];
+    const right = heap[leftPosition + 1];
+    if (left === undefined || right === undefined) return leftPosition;
+    return isBefore(right, left) ? leftPosition + 1 : leftPosition;
   }
 
   function restoreOrder(item: Item, position: number): void {
--- a/src/permits/recent-use.ts
+++ b/src/permits/recent-use.ts
@@ -1,6 +1,7 @@
 /**
- * Detects teams that exceed their fair share, by exponentially decayed service relative to the
- * weights of all recently served teams. Unlike `FairShare`, it also works with an empty queue.
+ * Detects teams that exceed their fair share, by exponentially decayed service (in prefill tokens)
+ * relative to the weights of all recently served teams. Unlike `FairShare`, it also works with an
+ * empty queue.
  */
 import { FAIR_BAND_TOKENS, type TeamCharge } from './fair-share.js';
 
@@ -16,18 +17,18 @@
   tokens: number;
 }
 
-/** Time constant of the decay: service has a weight of 1/e after this time. */
+/** Time constant of the decay: after it, service counts for 1/e. */
 const DECAY_MS = 20_000;
 /** A team exceeds its share above this multiple of the share plus `BURST_TOKENS`. */
 const TOLERANCE = 1.1;
 /** Burst allowed on top of the share, in prefill tokens. */
 const BURST_TOKENS = 2 * FAIR_BAND_TOKENS;
-/** Interval at which the decay is applied. */
+/** Minimum time between two applications of the decay. */
 const DECAY_EVERY_MS = 250;
-/** A team with less decayed service is dropped. */
+/** Teams with less decayed service, in prefill tokens, are dropped. */
 const MIN_TOKENS = 1;
 
-/** Creates the record of a shard without any service. */
+/** Creates an empty record of the teams that a shard serves. */
 export function createRecentUse(): RecentUse {
   const uses = new Map<string, Use>();
   let decayedAt = 0;
@@ -36,12 +37,12 @@
 
   function decay(now: number): void {
     if (now - decayedAt < DECAY_EVERY_MS) return;
-    const kept = Math.exp((decayedAt - now) / DECAY_MS);
+    const factor = Math.exp((decayedAt - now) / DECAY_MS);
     decayedAt = now;
     totalTokens = 0;
     totalWeight = 0;
     for (const [team, use] of uses) {
-      use.tokens *= kept;
+      use.tokens *= factor;
       if (use.tokens < MIN_TOKENS) {
         uses.delete(team);
         continue;
--- a/src/permits/server-rates.ts
+++ b/src/permits/server-rates.ts
@@ -1,7 +1,7 @@
 /**
  * Learned rates of one backend server: time to first token by prompt tokens to prefill, inter-token
- * latency by batch size, and the duration of a plain service's calls. Without recent measurements,
- * the rates that the engine reports apply.
+ * latency (the duration of a decode step) by batch size, and the duration of a plain service's calls.
+ * Without recent measurements, the rates that the engine reports apply.
  */
 import { createLineFit } from './line-fit.js';
 
@@ -16,7 +16,7 @@
 /** Learned rates of one server. Times are milliseconds. */
 export interface ServerRates {
   setNominal(nominal: NominalRates): void;
-  /** Records a time to first token, with the prompt tokens that had to be prefilled until then. */
+  /** Records a time to first token, with the number of prompt tokens that had to be prefilled. */
   observeFirstToken(tokens: number, ms: number, now: number): void;
   /** Records an inter-token latency, with the number of requests in the batch. */
   observeStep(batch: number, ms: number, now: number): void;
@@ -24,7 +24,7 @@
   observeCall(ms: number, now: number): void;
   /** Time to first token if this many prompt tokens have to be prefilled. */
   firstTokenMs(tokens: number, now: number): number;
-  /** Prompt tokens that the server prefills in a time. */
+  /** Prompt tokens that the server prefills within `ms`. */
   tokensPrefilledIn(ms: number, now: number): number;
   /** Inter-token latency in a batch of this many requests. */
   stepMs(batch: number, now: number): number;
@@ -32,9 +32,9 @@
   callMs(now: number): number;
 }
 
-/** Prompt length of the anchor for the reported prefill rate. */
+/** Prompt tokens at the anchor point that stands for the reported prefill rate. */
 const ANCHOR_TOKENS = 2_048;
-/** Step time of a single request, as a share of the step time of a full batch. */
+/** Inter-token latency of a single request, as a share of that in a full batch. */
 const SINGLE_REQUEST_SHARE = 0.5;
 /** Duration of a plain service's call before the first measurement. */
 const DEFAULT_CALL_MS = 20;
@@ -49,14 +49,14 @@
   return {
     setNominal({ prefillTokensPerSecond, decodeTokensPerSecond, maxBatch }) {
       const prefillMs = (ANCHOR_TOKENS * MS_PER_SECOND) / prefillTokensPerSecond;
-      const fullMs = MS_PER_SECOND / decodeTokensPerSecond;
+      const fullBatchMs = MS_PER_SECOND / decodeTokensPerSecond;
       prefills.setAnchors([
         { x: 0, y: 0 },
         { x: ANCHOR_TOKENS, y: prefillMs },
       ]);
       steps.setAnchors([
-        { x: 1, y: fullMs * SINGLE_REQUEST_SHARE },
-        { x: maxBatch, y: fullMs },
+        { x: 1, y: fullBatchMs * SINGLE_REQUEST_SHARE },
+        { x: maxBatch, y: fullBatchMs },
       ]);
     },
     observeFirstToken(tokens, ms, now) {
--- a/src/relay/server-gate.ts
+++ b/src/relay/server-gate.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request may be sent to a server, which may be leaving or have asked for a pause. Every send of a
- * request passes this check, whichever placer selected the server.
+ * Decides whether a request may be sent to a server: not while the server is leaving or has asked for
+ * a pause. Every send of a request passes this check, whichever placer selected the server.
  */
 import type { Backpressure } from '../backpressure/index.js';
 import { resolveServerName, type Fleet, type RegisteredServer } from '../fleet/index.js';
@@ -8,7 +8,7 @@
 import type { AnswerFacts } from './protocol.js';
 import { isSuccess } from './send.js';
 
-/** What the gate needs. */
+/** Dependencies of the gate. */
 export interface ServerGateParts {
   fleet: Fleet;
   backpressure: Backpressure;
@@ -42,17 +42,17 @@
 
   return {
     withholdReason(server) {
-      if (!fleet.isAvailable(server.id)) return 'the server leaves';
+      if (!fleet.isAvailable(server.id)) return 'the server is leaving';
       return isPaused(server) ? 'the server asked for a pause' : undefined;
     },
     isPaused,
     msUntilResumed() {
-      let firstMs = Number.POSITIVE_INFINITY;
+      let soonestMs = Number.POSITIVE_INFINITY;
       for (const { id } of fleet.available(service)) {
         const remainingMs = backpressure.msUntilResumed(id);
-        if (remainingMs > 0) firstMs = Math.min(firstMs, remainingMs);
+        if (remainingMs > 0) soonestMs = Math.min(soonestMs, remainingMs);
       }
-      return Number.isFinite(firstMs) ? firstMs : 0;
+      return Number.isFinite(soonestMs) ? soonestMs : 0;
     },
     headReceived(server, head, facts) {
       const { serverId, signals } = facts;
--- a/src/scheduling/cache-model.ts
+++ b/src/scheduling/cache-model.ts
@@ -19,7 +19,7 @@
 }
 
 /**
- * Creates an empty cache.
+ * Creates the model of an empty cache.
  *
  * @param capacityTokens capacity of the engine's cache in tokens
  */
@@ -29,6 +29,7 @@
   const usableTokens = capacityTokens * USABLE_SHARE;
   let totalTokens = 0;
 
+  /** Makes a part the most recently used one. */
   function touch(key: string, tokens: number): void {
     const known = tokensByKey.get(key);
     if (known === undefined) totalTokens += tokens;
@@ -66,6 +67,7 @@
       for (const { model, id, tokens } of parts) {
         touch(keyOf(model, id), tokens);
       }
+      // the parts known before are inserted last, so that they are evicted last
       for (const [key, tokens] of newer) {
         touch(key, tokens);
       }
@@ -74,6 +76,6 @@
   };
 }
 
-function keyOf(model: string, part: string): string {
-  return `${model}/${part}`;
+function keyOf(model: string, partId: string): string {
+  return `${model}/${partId}`;
 }
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the engines that may be given a request. All placement decisions use this one rule, since
- * two different rules could pass a request back and forth. If no engine is healthy, all eligible
- * ones are used.
+ * two different rules could pass a request back and forth. If every eligible engine is unhealthy or
+ * avoided by the requesting gateway, all eligible ones are used.
  */
 import type { SendLimits } from '../backpressure/index.js';
 import type { EngineRole, RegisteredServer } from '../fleet/index.js';
@@ -30,7 +30,7 @@
 }
 
 /**
- * Creates the selection.
+ * Creates the candidate selection.
  *
  * @param parts the engines with their health and limits
  */
@@ -38,16 +38,16 @@
   const { monitor, limits } = parts;
 
   /** Eligible engines that are healthy and that the requesting gateway does not avoid. */
-  function listHealthy(job: Job, role: EngineRole): RegisteredServer[] {
-    const healthy: RegisteredServer[] = [];
+  function listPreferred(job: Job, role: EngineRole): RegisteredServer[] {
+    const preferred: RegisteredServer[] = [];
     for (const engine of listEligible(job, role)) {
       if (job.avoided.includes(engine.id)) continue;
-      if (monitor.isAvailable(engine.id, parts.requestCount(engine.id))) healthy.push(engine);
+      if (monitor.isAvailable(engine.id, parts.requestCount(engine.id))) preferred.push(engine);
     }
-    return healthy;
+    return preferred;
   }
 
-  /** Engines of a role that have not failed this request. */
+  /** Engines of a role that have not failed this request; decode engines also need room. */
   function listEligible(job: Job, role: EngineRole): RegisteredServer[] {
     const eligible: RegisteredServer[] = [];
     for (const engine of parts.engines()) {
@@ -58,14 +58,14 @@
     return eligible;
   }
 
-  /** Whether an engine's rate limit leaves room; the last slot is reserved for rank 0. */
+  /** Whether an engine's rate limit leaves room; the last slot is reserved for requests of rank 0. */
   function hasRoom(id: string, job: Job): boolean {
     return limits.msUntilRoom(id, job.rank === 0 ? 0 : 1) === 0;
   }
 
   function list(job: Job, role: EngineRole): RegisteredServer[] {
-    const healthy = listHealthy(job, role);
-    return healthy.length > 0 ? healthy : listEligible(job, role);
+    const preferred = listPreferred(job, role);
+    return preferred.length > 0 ? preferred : listEligible(job, role);
   }
 
   return {
--- a/src/scheduling/least-squares.ts
+++ b/src/scheduling/least-squares.ts
@@ -1,14 +1,16 @@
 /**
  * Recursive least squares (a Kalman filter over the weights) with non-negative weights. Process noise
- * keeps the gain from vanishing, so that recent observations count most; the wide prior makes the
- * model usable after the first one.
+ * keeps the gain from vanishing, so that recent observations count most. With a wide prior, a single
+ * observation already moves the weights.
  */
 
-/** Share of the prior variance that is added back to each weight per observation. */
+/** Share of a weight's prior variance that is added back to its variance per observation. */
 const PROCESS_NOISE_SHARE = 0.0004;
 
-/** Model of a quantity as a weighted sum of known terms. Weights are not negative, so that predictions
- * never decrease with a term. */
+/**
+ * Model of a quantity as a weighted sum of known terms. Weights are not negative, so that predictions
+ * never decrease with a term.
+ */
 export interface LinearModel {
   predict(terms: readonly number[]): number;
   /**
--- a/test/backpressure/backpressure.test.ts
+++ b/test/backpressure/backpressure.test.ts
@@ -48,7 +48,7 @@
     expect(backpressure.limits.isLimited(server.id)).to.equal(false);
   });
 
-  it('ignores a notice from a peer that is older than the known one', async () => {
+  it('ignores a notice from a peer if a newer one is known', async () => {
     const { backpressure, advance } = setUp();
     await advance(1_000);
     backpressure.signalsReceived(server, { ...noSignals, limitPerS: 4 }, true);
@@ -60,7 +60,7 @@
     expect(backpressure.limits.isLimited(server.id)).to.equal(false);
   });
 
-  it('keeps an incarnation leaving whichever notice comes last', () => {
+  it('keeps an incarnation marked as leaving, whatever later signals and notices report', () => {
     const { backpressure, leaving } = setUp();
     backpressure.signalsReceived(server, { ...noSignals, isLeaving: true }, true);
     backpressure.signalsReceived(server, noSignals, true);
--- a/test/caller/start.test.ts
+++ b/test/caller/start.test.ts
@@ -45,7 +45,7 @@
     return { code, output };
   }
 
-  function settingsWith(listen: object): object {
+  function createNodeSettings(listen: object): object {
     const addresses = { caller: '127.0.0.1:0', operator: '127.0.0.1:0', peer: '127.0.0.1:0' };
     const secrets = { peerKey: { environment: 'PEER' }, operatorToken: { environment: 'TOKEN' } };
     const common = { node: 'n1', zone: 'osu-hall', platform, secrets };
@@ -53,24 +53,24 @@
   }
 
   it('reports an invalid port in its settings and what was expected', async () => {
-    const { code, output } = await run(settingsWith({ caller: '127.0.0.1:70000' }));
+    const { code, output } = await run(createNodeSettings({ caller: '127.0.0.1:70000' }));
     expect(code).to.equal(2);
     expect(output).to.contain('listen.caller').and.to.contain('expected a port up to 65535');
   });
 
-  it('reports an unknown key', async () => {
-    const { code, output } = await run({ ...settingsWith({}), portt: 1 });
+  it('reports an unknown key in its settings', async () => {
+    const { code, output } = await run({ ...createNodeSettings({}), portt: 1 });
     expect(code).to.equal(2);
     expect(output).to.contain('portt');
   });
 
-  it('exits with advice when an address is in use', async () => {
+  it('exits and logs advice when an address is in use', async () => {
     const server = createServer();
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const usedAddress = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-    for (const front of ['caller', 'operator', 'peer']) {
-      const { code, output } = await run(settingsWith({ [front]: usedAddress }));
-      expect(code, front).to.equal(1);
+    for (const listener of ['caller', 'operator', 'peer']) {
+      const { code, output } = await run(createNodeSettings({ [listener]: usedAddress }));
+      expect(code, listener).to.equal(1);
       expect(output)
         .to.contain('"event":1004')
         .and.to.contain(usedAddress)
@@ -85,29 +85,32 @@
     const table = await createTableStandIn();
     const vmList = await createVmListStandIn({ vms: [] });
     table.setFault({ kind: 'unavailable' });
-    const written: { event: EventName; fields: EventFields }[] = [];
+    const events: { event: EventName; fields: EventFields }[] = [];
     const origins = { ...platform, tableService: table.origin, vmList: vmList.origin };
     const node = await startNode(createSettings('n1', origins), {
       write(event, fields = {}) {
-        written.push({ event, fields });
+        events.push({ event, fields });
       },
     });
-    const line = written.find(({ event }) => event === 'tableUnreachable');
-    expect(line?.fields).to.include({ tableService: table.origin });
-    expect(line?.fields.advice).to.contain('platform.tableService');
+    const entry = events.find(({ event }) => event === 'tableUnreachable');
+    expect(entry?.fields).to.include({ tableService: table.origin });
+    expect(entry?.fields.advice).to.contain('platform.tableService');
 
-    const models = () =>
+    const fetchModels = () =>
       fetch(`${node.origin}/v1/models`, {
         headers: { authorization: `Bearer ${keyOf('kumasi')}` },
       });
-    const refused = await models();
+    const refused = await fetchModels();
     expect(refused.status).to.equal(503);
     expect(await refused.json()).to.have.nested.property('error.code', 'configuration-stale');
     expect((await node.operate('/readyz')).status).to.equal(503);
 
     table.setFault({ kind: 'none' });
-    await waitUntil('it is ready', async () => (await node.operate('/readyz')).status === 200);
-    expect((await models()).status).to.equal(401);
+    await waitUntil(
+      'the node is ready',
+      async () => (await node.operate('/readyz')).status === 200,
+    );
+    expect((await fetchModels()).status).to.equal(401);
     await node.node.stop();
     await Promise.all([table.stop(), vmList.stop()]);
   });
--- a/test/permits/roles.test.ts
+++ b/test/permits/roles.test.ts
@@ -24,18 +24,28 @@
 };
 
 /** Creates an engine that records its calls; prefill and export can be made to fail. */
-function createFakeEngine(id: string, calls: string[], finishesPrefill = true, exports = true) {
-  const last: EngineChunk = { requestId: 'request-1', index: 0, text: '', finishReason: 'stop' };
+function createFakeEngine(
+  id: string,
+  calls: string[],
+  finishesPrefill = true,
+  exportSucceeds = true,
+) {
+  const lastChunk: EngineChunk = {
+    requestId: 'request-1',
+    index: 0,
+    text: '',
+    finishReason: 'stop',
+  };
   const engine: Pick<ModelEngine, 'id' | 'generate' | 'exportKv' | 'importKv'> = {
     id,
-    async *generate(asked) {
-      calls.push(`${id} ${asked.prefillOnly ? 'reads' : 'generates'}`);
+    async *generate(engineRequest) {
+      calls.push(`${id} ${engineRequest.prefillOnly ? 'reads' : 'generates'}`);
       await Promise.resolve();
-      if (finishesPrefill) yield Ok(last);
+      if (finishesPrefill) yield Ok(lastChunk);
     },
     exportKv(requestId) {
       calls.push(`${id} exports ${requestId}`);
-      return Promise.resolve(exports ? Ok({ handle: 'kv-1', tokens: 1 }) : Err(failure));
+      return Promise.resolve(exportSucceeds ? Ok({ handle: 'kv-1', tokens: 1 }) : Err(failure));
     },
     importKv({ handle }) {
       calls.push(`${id} imports ${handle}`);
@@ -45,13 +55,13 @@
   return engine as ModelEngine;
 }
 
-async function runHandover(finishesPrefill: boolean, exports: boolean) {
+async function runHandover(finishesPrefill: boolean, exportSucceeds: boolean) {
   const calls: string[] = [];
-  const from = createFakeEngine('reader', calls, finishesPrefill, exports);
+  const from = createFakeEngine('reader', calls, finishesPrefill, exportSucceeds);
   const to = createFakeEngine('writer', calls);
-  const watch = { read: () => calls.push('read') };
-  const handed = await handOver({ from, to, request }, new AbortController().signal, watch);
-  return { calls, handed };
+  const observer = { read: () => calls.push('read') };
+  const result = await handOver({ from, to, request }, new AbortController().signal, observer);
+  return { calls, result };
 }
 
 describe('engines with roles', () => {
@@ -66,12 +76,12 @@
     if (answer.kind !== 'permit.granted') throw new Error(answer.failure.message);
     const { permit } = answer;
     expect([permit.server, permit.prefill?.server]).to.deep.equal(['writer', 'reader']);
-    const out = () => harness.holder.servers().map(({ permits }) => permits.size);
-    expect(out()).to.deep.equal([1, 1]);
+    const permitCounts = () => harness.holder.servers().map(({ permits }) => permits.size);
+    expect(permitCounts()).to.deep.equal([1, 1]);
     const { shard, permitId, server } = permit;
     const progress = { shard, permitId, server, firstTokenMs: 20, prefillMs: 12 };
     harness.holder.progress({ kind: 'permit.progress', ...progress });
-    expect(out()).to.deep.equal([0, 1]);
+    expect(permitCounts()).to.deep.equal([0, 1]);
   });
 
   it('serve nothing if one of the two roles is missing or handover is disabled', async () => {
@@ -92,8 +102,8 @@
   });
 
   it('hand over the KV cache after the prefill', async () => {
-    const { calls, handed } = await runHandover(true, true);
-    expect(handed.unwrapOr('')).to.equal('kv-1');
+    const { calls, result } = await runHandover(true, true);
+    expect(result.unwrapOr('')).to.equal('kv-1');
     expect(calls).to.deep.equal([
       'reader reads',
       'read',
@@ -102,12 +112,12 @@
     ]);
   });
 
-  it('report a failure if the prefill was incomplete or the KV cache is gone', async () => {
+  it('report a failure if the prefill was incomplete or the KV cache cannot be exported', async () => {
     const incomplete = await runHandover(false, true);
-    expect(incomplete.handed.isErr() && incomplete.handed.error.code).to.equal('answer-incomplete');
+    expect(incomplete.result.isErr() && incomplete.result.error.code).to.equal('answer-incomplete');
     expect(incomplete.calls).to.deep.equal(['reader reads']);
-    const gone = await runHandover(true, false);
-    expect(gone.handed.isErr()).to.equal(true);
-    expect(gone.calls).to.not.include('writer imports kv-1');
+    const failedExport = await runHandover(true, false);
+    expect(failedExport.result.isErr()).to.equal(true);
+    expect(failedExport.calls).to.not.include('writer imports kv-1');
   });
 });
