--- a/src/relay/server-gate.ts
+++ b/src/relay/server-gate.ts
@@ -42,7 +42,7 @@
 
   return {
     withholdReason(server) {
-      if (!fleet.isAvailable(server.id)) return 'the server is leaving';
+      if (!fleet.isAvailable(server.id)) return 'the server leaves';
       return isPaused(server) ? 'the server asked for a pause' : undefined;
     },
     isPaused,
