--- a/src/node/placing.ts
+++ b/src/node/placing.ts
@@ -12,8 +12,8 @@
   createBaselinePlacement,
   createDirectPlacement,
   createHolderPlacement,
-  createLoadBoard,
-  createServerWord,
+  createLoadTracker,
+  createServerAvailability,
   resolvePick,
   type Backends,
   type Placement,
@@ -96,14 +96,14 @@
       createId,
       serversOf: (group) => groupServers.serversOf(group),
       shardOf,
-      word: createServerWord(clock, backends),
-      lastFree,
+      availability: createServerAvailability(clock, backends),
+      lastKnownFree: lastFree,
     }),
   });
 
-  const board = createLoadBoard({
+  const board = createLoadTracker({
     clock,
-    everyMs: LOAD_EVERY_MS,
+    intervalMs: LOAD_EVERY_MS,
     backends,
     servers: () => membership.vms().filter(({ kind }) => kind !== 'entry'),
   });
@@ -114,7 +114,7 @@
       : createBaselinePlacement({
           node,
           pick,
-          board,
+          loadTracker: board,
           inUse,
           createId,
           serversOf: (group) => groupServers.serversOf(group),
--- a/src/router/baselines/baseline-placement.ts
+++ b/src/router/baselines/baseline-placement.ts
@@ -7,8 +7,8 @@
 import { createRefusal, type Failure } from '../../errors/index.js';
 import type { Vm } from '../../ports/index.js';
 import type { PlacesInUse } from '../in-use.js';
-import type { Place, Placement, PlaceWish } from '../placement.js';
-import type { LoadBoard } from './load-board.js';
+import type { Place, Placement, PlacementRequest } from '../placement.js';
+import type { LoadTracker } from './load-tracker.js';
 import type { ServerPick } from './server-picks.js';
 
 const RETRY_AFTER_MS = 1_000;
@@ -17,7 +17,7 @@
 export interface BaselinePlacementParts {
   node: string;
   pick: ServerPick;
-  board: LoadBoard;
+  loadTracker: LoadTracker;
   inUse: PlacesInUse;
   createId(): string;
   /** Servers of a group that may take new work, by configuration and list. */
@@ -31,17 +31,17 @@
  * @param parts how a server is picked, and from which
  */
 export function createBaselinePlacement(parts: BaselinePlacementParts): Placement {
-  const { node, pick, board, inUse } = parts;
+  const { node, pick, loadTracker: board, inUse } = parts;
 
-  function listServers(wish: PlaceWish): Vm[] {
+  function listServers(wish: PlacementRequest): Vm[] {
     const servers: Vm[] = [];
     for (const group of wish.groups) {
       servers.push(...parts.serversOf(group));
     }
-    return servers.filter(({ id }) => !wish.avoid.includes(id) && board.isHeard(id));
+    return servers.filter(({ id }) => !wish.avoid.includes(id) && board.isResponsive(id));
   }
 
-  function place(wish: PlaceWish): Promise<Result<Place, Failure>> {
+  function place(wish: PlacementRequest): Promise<Result<Place, Failure>> {
     const chosen = pick.pick(listServers(wish), (server) => board.loadOf(server));
     if (chosen === undefined) return Promise.resolve(Err(refuse(node)));
     const place: Place = {
@@ -51,7 +51,7 @@
       address: chosen.address,
       waitedMs: 0,
     };
-    board.noteBegin(chosen.id);
+    board.recordStart(chosen.id);
     inUse.add({
       permitId: place.permitId,
       requestId: wish.requestId,
--- a/src/router/baselines/load-board.ts
+++ b/src/router/baselines/load-tracker.ts
@@ -13,22 +13,22 @@
 const MAX_SILENCES = 2;
 
 /** Loads of servers, as last reported. */
-export interface LoadBoard {
+export interface LoadTracker {
   start(): void;
   stop(): void;
   /** Requests on a server: the reported ones and this node's own since; 0 before any report. */
   loadOf(server: string): number;
   /** Whether the server answered lately, or was never asked. */
-  isHeard(server: string): boolean;
+  isResponsive(server: string): boolean;
   /** Notes that this node began a request on a server. */
-  noteBegin(server: string): void;
+  recordStart(server: string): void;
 }
 
 /** What a load board needs. */
-export interface LoadBoardParts {
+export interface LoadTrackerParts {
   clock: Clock;
   /** Time between two reads of a server's report, in milliseconds. */
-  everyMs: number;
+  intervalMs: number;
   backends: Backends;
   /** Backend servers to ask. */
   servers(): readonly Vm[];
@@ -46,7 +46,7 @@
  *
  * @param parts whom to ask and how often
  */
-export function createLoadBoard(parts: LoadBoardParts): LoadBoard {
+export function createLoadTracker(parts: LoadTrackerParts): LoadTracker {
   const { clock, backends } = parts;
   const entries = new Map<string, Entry>();
   let timer: Timer | undefined;
@@ -83,7 +83,7 @@
     for (const vm of parts.servers()) {
       void read(vm);
     }
-    if (!stopped) timer = clock.after(parts.everyMs, round);
+    if (!stopped) timer = clock.after(parts.intervalMs, round);
   }
 
   return {
@@ -96,8 +96,8 @@
       const entry = entries.get(server);
       return entry === undefined ? 0 : entry.reported + entry.begunAt.length;
     },
-    isHeard: (server) => (entries.get(server)?.silences ?? 0) < MAX_SILENCES,
-    noteBegin(server) {
+    isResponsive: (server) => (entries.get(server)?.silences ?? 0) < MAX_SILENCES,
+    recordStart(server) {
       entryOf(server).begunAt.push(clock.now());
     },
   };
--- a/src/router/completion.ts
+++ b/src/router/completion.ts
@@ -14,8 +14,8 @@
 import type { Backends } from './backend.js';
 import { handOver } from './handover.js';
 import type { OutputEstimate } from '../permits/output-estimate.js';
-import type { Place, PlaceEnd, Placement, PlaceWish } from './placement.js';
-import type { Retries, RetryQuestion } from './retries.js';
+import type { Place, PlaceEnd, Placement, PlacementRequest } from './placement.js';
+import type { Retries, FailedAttempt } from './retries.js';
 import type { RetryBudget } from './retry-budget.js';
 import { createWatchdog, type Watchdog } from './watchdog.js';
 
@@ -103,7 +103,7 @@
       const { requestId } = job;
       log.write('requestRetried', { requestId, attempt: progress.attempt, failure });
       progress.spent = next.spent;
-      if (next.forgetAvoided) progress.avoid = [];
+      if (next.clearAvoided) progress.avoid = [];
       await wait(clock, next.pauseMs);
     }
   }
@@ -136,7 +136,11 @@
     use: PlaceUse,
   ): AsyncGenerator<Result<EngineChunk, Failure>, Failure | undefined, void> {
     const firstTokenBy = progress.delivered === 0 ? job.deadlineAt : Infinity;
-    const watchdog = createWatchdog(clock, { limitMs: stallLimit(job), firstTokenBy }, signal);
+    const watchdog = createWatchdog(
+      clock,
+      { idleTimeoutMs: stallLimit(job), firstTokenBy },
+      signal,
+    );
     const request = createRequest(job, progress, place);
     try {
       for await (const item of open(request, place, watchdog.signal, use)) {
@@ -175,7 +179,7 @@
     const { server, address } = place.prefill;
     const handover = { from: backends.engine(server, address), to: engine, request };
     const handed = await handOver(handover, signal, {
-      read() {
+      prefillDone() {
         use.readAt = clock.now();
       },
     });
@@ -238,7 +242,7 @@
     estimate.observe({ team: job.team.name, class: job.requestClass.name }, progress.delivered);
   }
 
-  function createWish(job: CompletionJob, progress: Progress): PlaceWish {
+  function createWish(job: CompletionJob, progress: Progress): PlacementRequest {
     const { team, requestClass } = job;
     const key = { team: team.name, class: requestClass.name };
     const expected = estimate.estimate(key, requestClass.expectedOutputTokens);
@@ -292,7 +296,7 @@
   progress: Progress,
   failure: Failure,
   signal: AbortSignal,
-): RetryQuestion {
+): FailedAttempt {
   return {
     spent: progress.spent,
     failure,
--- a/src/router/direct-placement.ts
+++ b/src/router/direct-placement.ts
@@ -9,8 +9,8 @@
 import type { Vm } from '../ports/index.js';
 import type { RandomSource } from '../task/index.js';
 import type { PlacesInUse } from './in-use.js';
-import type { Place, Placement, PlaceWish } from './placement.js';
-import type { ServerWord } from './server-word.js';
+import type { Place, Placement, PlacementRequest } from './placement.js';
+import type { ServerAvailability } from './server-availability.js';
 
 const RETRY_AFTER_MS = 1_000;
 
@@ -24,9 +24,9 @@
   serversOf(group: EngineGroup): Vm[];
   shardOf(vm: Vm): string;
   /** What servers say of themselves; without a holder nobody else speaks for them. */
-  word: ServerWord;
+  availability: ServerAvailability;
   /** Free places when the holder last spoke of the server; `undefined` when it never did. */
-  lastFree(server: string): number | undefined;
+  lastKnownFree(server: string): number | undefined;
 }
 
 /**
@@ -37,14 +37,14 @@
 export function createDirectPlacement(parts: DirectPlacementParts): Placement {
   const { random, inUse } = parts;
 
-  async function listCandidates(wish: PlaceWish): Promise<Vm[]> {
+  async function listCandidates(wish: PlacementRequest): Promise<Vm[]> {
     const listed: Vm[] = [];
     for (const group of wish.groups) {
       for (const vm of parts.serversOf(group)) {
         if (!wish.avoid.includes(vm.id)) listed.push(vm);
       }
     }
-    const words = await Promise.all(listed.map((vm) => parts.word.takesWork(vm)));
+    const words = await Promise.all(listed.map((vm) => parts.availability.acceptsWork(vm)));
     return listed.filter((_, index) => words[index] === true);
   }
 
@@ -53,10 +53,10 @@
   }
 
   function loadOf(vm: Vm): number {
-    return inUse.countOn(vm.id) - (parts.lastFree(vm.id) ?? 0);
+    return inUse.countOn(vm.id) - (parts.lastKnownFree(vm.id) ?? 0);
   }
 
-  async function place(wish: PlaceWish): Promise<Result<Place, Failure>> {
+  async function place(wish: PlacementRequest): Promise<Result<Place, Failure>> {
     const candidates = await listCandidates(wish);
     const first = pick(candidates);
     const second = pick(candidates);
--- a/src/router/handover.ts
+++ b/src/router/handover.ts
@@ -16,9 +16,9 @@
 }
 
 /** How far a handover has come. */
-export interface HandoverWatch {
+export interface HandoverObserver {
   /** The prompt has been read. */
-  read(): void;
+  prefillDone(): void;
 }
 
 /**
@@ -32,11 +32,11 @@
 export async function handOver(
   { from, to, request }: Handover,
   signal: AbortSignal,
-  watch: HandoverWatch,
+  watch: HandoverObserver,
 ): Promise<Result<string, Failure>> {
   const failure = await readPrompt(from, request, signal);
   if (failure !== undefined) return Err(failure);
-  watch.read();
+  watch.prefillDone();
   const exported = await from.exportKv(request.requestId);
   if (exported.isErr()) return exported;
   const imported = await to.importKv(exported.value);
--- a/src/router/holder-placement.ts
+++ b/src/router/holder-placement.ts
@@ -12,7 +12,7 @@
 import type { KnownHolder, Shard } from '../shards/index.js';
 import type { Clock } from '../task/index.js';
 import type { PlacesInUse } from './in-use.js';
-import type { Place, PlaceEnd, Placement, PlaceProgress, PlaceWish } from './placement.js';
+import type { Place, PlaceEnd, Placement, PlaceProgress, PlacementRequest } from './placement.js';
 
 /** A holder that has not answered this long after the first token was due will not. */
 const ANSWER_SLACK_MS = 500;
@@ -53,7 +53,10 @@
 export function createHolderPlacement(parts: HolderPlacementParts): Placement {
   const { node, clock, log, metrics, links, inUse } = parts;
 
-  async function place(wish: PlaceWish, signal: AbortSignal): Promise<Result<Place, Failure>> {
+  async function place(
+    wish: PlacementRequest,
+    signal: AbortSignal,
+  ): Promise<Result<Place, Failure>> {
     let last: Failure | undefined;
     for (const option of listOptions(wish)) {
       if (signal.aborted) break;
@@ -71,7 +74,7 @@
   }
 
   /** Shards with free places first, then the shorter queue. */
-  function listOptions(wish: PlaceWish): Option[] {
+  function listOptions(wish: PlacementRequest): Option[] {
     const options: Option[] = [];
     for (const group of wish.groups) {
       for (const shard of parts.shardsOf(group)) {
@@ -92,7 +95,7 @@
   }
 
   async function askHolder(
-    wish: PlaceWish,
+    wish: PlacementRequest,
     option: Option,
     signal: AbortSignal,
   ): Promise<Result<Place, Failure>> {
@@ -110,7 +113,7 @@
     return readAnswer(wish, answer.value, holder ?? '');
   }
 
-  function createQuery(wish: PlaceWish, option: Option): PermitQuery {
+  function createQuery(wish: PlacementRequest, option: Option): PermitQuery {
     const now = clock.now();
     return {
       kind: 'permit.request',
@@ -157,7 +160,11 @@
     }
   }
 
-  function readAnswer(wish: PlaceWish, answer: Answer, holder: string): Result<Place, Failure> {
+  function readAnswer(
+    wish: PlacementRequest,
+    answer: Answer,
+    holder: string,
+  ): Result<Place, Failure> {
     return match(answer)
       .with({ kind: 'permit.granted' }, ({ permit }): Result<Place, Failure> => {
         inUse.add({
@@ -179,7 +186,7 @@
   }
 
   async function placeWithoutHolder(
-    wish: PlaceWish,
+    wish: PlacementRequest,
     option: Option,
     signal: AbortSignal,
   ): Promise<Result<Place, Failure>> {
@@ -202,7 +209,7 @@
     if (holder !== undefined) links.notify(holder, notice);
   }
 
-  function release(wish: PlaceWish, used: Place, end: PlaceEnd): void {
+  function release(wish: PlacementRequest, used: Place, end: PlaceEnd): void {
     inUse.remove(used.permitId);
     const notice: PermitRelease = {
       kind: 'permit.release',
--- a/src/router/index.ts
+++ b/src/router/index.ts
@@ -10,4 +10,4 @@
 export * from './retries.js';
 export * from './retry-budget.js';
 export * from './service-call.js';
-export * from './server-word.js';
+export * from './server-availability.js';
--- a/src/router/placement.ts
+++ b/src/router/placement.ts
@@ -8,7 +8,7 @@
 import type { Permit, PermitProgress, PermitRelease } from '../links/index.js';
 
 /** What an attempt needs of a place. */
-export interface PlaceWish {
+export interface PlacementRequest {
   requestId: string;
   attempt: number;
   groups: readonly EngineGroup[];
@@ -59,8 +59,8 @@
 /** A way to find places. */
 export interface Placement {
   /** Waits for a place; the failure of one that cannot be had is always `not-run`. */
-  place(wish: PlaceWish, signal: AbortSignal): Promise<Result<Place, Failure>>;
+  place(wish: PlacementRequest, signal: AbortSignal): Promise<Result<Place, Failure>>;
   /** Tells whoever keeps a tally that the first token came; absent where nobody keeps one. */
   progress?(place: Place, progress: PlaceProgress): void;
-  release(wish: PlaceWish, place: Place, end: PlaceEnd): void;
+  release(wish: PlacementRequest, place: Place, end: PlaceEnd): void;
 }
--- a/src/router/retries.ts
+++ b/src/router/retries.ts
@@ -18,7 +18,7 @@
 const RETRY_AFTER_MS = 1_000;
 
 /** What the decision depends on beside the failure itself. */
-export interface RetryQuestion {
+export interface FailedAttempt {
   /** Retries that were spent on the request before. */
   spent: number;
   /** Why the attempt failed. */
@@ -36,13 +36,13 @@
 }
 
 /** What follows a failed attempt. */
-export type RetryAnswer =
+export type RetryDecision =
   | { kind: 'final'; failure: Failure }
   /**
    * `spent`: retries that are spent on it with the next one. `forgetAvoided`: nobody else can
    * serve, so servers that failed it are asked again.
    */
-  | { kind: 'again'; pauseMs: number; spent: number; forgetAvoided: boolean };
+  | { kind: 'again'; pauseMs: number; spent: number; clearAvoided: boolean };
 
 /** What retries need. */
 export interface RetryParts {
@@ -58,7 +58,7 @@
 /** Decides on retries. */
 export interface Retries {
   /** Spends the budget and counts when the answer is another attempt. */
-  decide(question: RetryQuestion): RetryAnswer;
+  decide(question: FailedAttempt): RetryDecision;
 }
 
 /**
@@ -69,9 +69,9 @@
 export function createRetries(parts: RetryParts): Retries {
   const { node, clock, random, budget, metrics, maxAttempts } = parts;
 
-  function decide(question: RetryQuestion): RetryAnswer {
+  function decide(question: FailedAttempt): RetryDecision {
     const { failure, mayHaveRun, deadlineAt } = question;
-    const final = withTrueOutcome(failure, mayHaveRun);
+    const final = resolveOutcome(failure, mayHaveRun);
     if (question.isAborted || !isWorthRetrying(question)) return { kind: 'final', failure: final };
     if (mayHaveRun && !question.repeatable) return { kind: 'final', failure: final };
     const isResumption = isBegunElsewhere(question);
@@ -79,7 +79,7 @@
     if (spent >= maxAttempts) return { kind: 'final', failure: final };
     const pauseMs = isResumption ? resolvePlacePause(random) : resolveRetryPause(spent, random);
     if (clock.now() + pauseMs >= deadlineAt) {
-      return { kind: 'final', failure: withTrueOutcome(late(node, failure), mayHaveRun) };
+      return { kind: 'final', failure: resolveOutcome(late(node, failure), mayHaveRun) };
     }
     // An attempt that started nothing loads no server, so it costs a resumption no retry.
     const cause = failure.outcome === 'not-run' ? 'declined' : 'cut';
@@ -88,7 +88,7 @@
       return { kind: 'final', failure: final };
     }
     metrics.retries.inc({ reason: failure.code });
-    return { kind: 'again', pauseMs, spent, forgetAvoided: hasNobodyElse(question) };
+    return { kind: 'again', pauseMs, spent, clearAvoided: hasNobodyElse(question) };
   }
 
   return { decide };
@@ -115,7 +115,7 @@
  * @param failure why the last attempt failed
  * @param mayHaveRun whether any attempt may have started work
  */
-export function withTrueOutcome(failure: Failure, mayHaveRun: boolean): Failure {
+export function resolveOutcome(failure: Failure, mayHaveRun: boolean): Failure {
   return mayHaveRun ? { ...failure, outcome: 'unknown' } : failure;
 }
 
@@ -123,12 +123,12 @@
  * An earlier attempt began the answer and this one started nothing: it is worth waiting for a place,
  * because the answer goes on at the token where it broke.
  */
-function isBegunElsewhere({ failure, mayHaveRun }: RetryQuestion): boolean {
+function isBegunElsewhere({ failure, mayHaveRun }: FailedAttempt): boolean {
   return mayHaveRun && failure.outcome === 'not-run';
 }
 
 /** No place was found, but only among the servers that have not failed the request yet. */
-function hasNobodyElse({ failure, hasAvoided }: RetryQuestion): boolean {
+function hasNobodyElse({ failure, hasAvoided }: FailedAttempt): boolean {
   return hasAvoided && failure.code === 'no-backend-server' && !isFromServer(failure);
 }
 
@@ -141,7 +141,7 @@
  * A holder that cannot be reached is not asked again: its successor takes seconds, and the caller is
  * told when to come back.
  */
-function isWorthRetrying(question: RetryQuestion): boolean {
+function isWorthRetrying(question: FailedAttempt): boolean {
   const { failure } = question;
   if (failure.code === 'cancelled') return false;
   if (isFromServer(failure) || hasNobodyElse(question)) return true;
--- a/src/router/server-word.ts
+++ b/src/router/server-availability.ts
@@ -10,9 +10,9 @@
 const KEPT_MS = 1_000;
 
 /** What servers say of themselves. */
-export interface ServerWord {
+export interface ServerAvailability {
   /** Whether a server answers and neither leaves nor carries out an order. */
-  takesWork(vm: Vm): Promise<boolean>;
+  acceptsWork(vm: Vm): Promise<boolean>;
 }
 
 interface Word {
@@ -26,7 +26,7 @@
  * @param clock the node's clock
  * @param backends the ways to servers
  */
-export function createServerWord(clock: Clock, backends: Backends): ServerWord {
+export function createServerAvailability(clock: Clock, backends: Backends): ServerAvailability {
   const words = new Map<string, Word>();
 
   async function ask(vm: Vm): Promise<boolean> {
@@ -39,7 +39,7 @@
   }
 
   return {
-    takesWork(vm) {
+    acceptsWork(vm) {
       const key = `${vm.id}@${vm.address}`;
       const known = words.get(key);
       const now = clock.now();
--- a/src/router/service-call.ts
+++ b/src/router/service-call.ts
@@ -10,8 +10,8 @@
 import type { ServiceAnswer, ServiceCall } from '../ports/index.js';
 import { wait, type Clock } from '../task/index.js';
 import type { Backends } from './backend.js';
-import type { Place, PlaceEnd, Placement, PlaceWish } from './placement.js';
-import { withTrueOutcome, type Retries } from './retries.js';
+import type { Place, PlaceEnd, Placement, PlacementRequest } from './placement.js';
+import { resolveOutcome, type Retries } from './retries.js';
 import type { RetryBudget } from './retry-budget.js';
 
 /** A call as the caller front hands it over. Times are on the node's clock. */
@@ -95,7 +95,7 @@
       if (ended.result.isOk()) return ended.result;
       const failure = ended.result.error;
       if (failure.outcome === 'unknown') progress.mayHaveRun = true;
-      if (ended.isFinal) return Err(withTrueOutcome(failure, progress.mayHaveRun));
+      if (ended.isFinal) return Err(resolveOutcome(failure, progress.mayHaveRun));
       const next = retries.decide({
         spent: progress.spent,
         failure,
@@ -108,7 +108,7 @@
       if (next.kind === 'final') return Err(next.failure);
       log.write('requestRetried', { requestId: job.requestId, attempt: progress.attempt, failure });
       progress.spent = next.spent;
-      if (next.forgetAvoided) progress.avoid = [];
+      if (next.clearAvoided) progress.avoid = [];
       await wait(clock, next.pauseMs);
     }
   }
@@ -149,7 +149,7 @@
 
   async function send(
     job: ServiceJob,
-    wish: PlaceWish,
+    wish: PlacementRequest,
     place: Place,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, Failure>> {
@@ -176,7 +176,7 @@
   return { run };
 }
 
-function createWish(job: ServiceJob, attempt: number, avoid: readonly string[]): PlaceWish {
+function createWish(job: ServiceJob, attempt: number, avoid: readonly string[]): PlacementRequest {
   const { team, requestClass } = job;
   return {
     requestId: job.requestId,
--- a/src/router/watchdog.ts
+++ b/src/router/watchdog.ts
@@ -8,9 +8,9 @@
 const ENDED = 'the stream is no longer wanted';
 
 /** How long a stream may be silent. */
-export interface Patience {
+export interface StreamLimits {
   /** Longest time without anything, in milliseconds. */
-  limitMs: number;
+  idleTimeoutMs: number;
   /** When something must have come at all, on the clock. */
   firstTokenBy: number;
 }
@@ -34,8 +34,8 @@
  * @param patience how long it may be silent
  * @param outer the caller's signal
  */
-export function createWatchdog(clock: Clock, patience: Patience, outer: AbortSignal): Watchdog {
-  const { limitMs, firstTokenBy } = patience;
+export function createWatchdog(clock: Clock, patience: StreamLimits, outer: AbortSignal): Watchdog {
+  const { idleTimeoutMs: limitMs, firstTokenBy } = patience;
   const controller = new AbortController();
   let lastTouch = clock.now();
   let due = Math.min(lastTouch + limitMs, firstTokenBy);
--- a/test/router/baselines.test.ts
+++ b/test/router/baselines.test.ts
@@ -2,7 +2,7 @@
 import { Ok } from 'ts-results-es';
 import type { LoadReport, ModelEngine, Vm } from '../../src/ports/index.js';
 import {
-  createLoadBoard,
+  createLoadTracker,
   LeastReportedPick,
   RoundRobinPick,
   TwoChoicesPick,
@@ -52,17 +52,17 @@
   it('counts what it began since a report was made on top of the report', async () => {
     const { clock, advance } = createFakeClock();
     const engine = { load: () => Promise.resolve(Ok(createReport(4, 400))) };
-    const board = createLoadBoard({
+    const board = createLoadTracker({
       clock,
-      everyMs: 1_000,
+      intervalMs: 1_000,
       backends: { engine: () => engine as unknown as ModelEngine } as unknown as Backends,
       servers: () => servers.slice(0, 1),
     });
     board.start();
     await advance(500);
-    board.noteBegin('a');
+    board.recordStart('a');
     await advance(200);
-    board.noteBegin('a');
+    board.recordStart('a');
     expect(board.loadOf('a')).to.equal(6);
     // The report read at 1000 was made at 600, after the first of the two
     await advance(400);
--- a/test/router/runners.test.ts
+++ b/test/router/runners.test.ts
@@ -10,12 +10,12 @@
   createRetries,
   createRetryBudget,
   createServiceCallRunner,
-  createServerWord,
+  createServerAvailability,
   createDirectPlacement,
   createPlacesInUse,
   type CompletionJob,
   type Placement,
-  type PlaceWish,
+  type PlacementRequest,
   type ServiceJob,
 } from '../../src/router/index.js';
 import { createOutputEstimate } from '../../src/permits/index.js';
@@ -49,7 +49,7 @@
 }
 
 /** Servers are placed one after the other; those to be avoided are not, as a holder does it. */
-function createPlacement(servers: string[], wishes: PlaceWish[]): Placement {
+function createPlacement(servers: string[], wishes: PlacementRequest[]): Placement {
   return {
     place(wish) {
       wishes.push({ ...wish, avoid: [...wish.avoid] });
@@ -150,7 +150,7 @@
 
 describe('completion runner', () => {
   it('goes on at the token where the stream broke, and drops doubled and crossed chunks', async () => {
-    const wishes: PlaceWish[] = [];
+    const wishes: PlacementRequest[] = [];
     const script: Script = ({ resumeFrom }) =>
       resumeFrom === 0
         ? [chunk(0), chunk(0), chunk(1, false, 'r2'), chunk(1), Err(cut)]
@@ -186,7 +186,7 @@
   });
 
   it('asks the engine that broke the stream again when there is no other', async () => {
-    const wishes: PlaceWish[] = [];
+    const wishes: PlacementRequest[] = [];
     const script: Script = ({ resumeFrom }) =>
       resumeFrom === 0 ? [chunk(0), Err(cut)] : [chunk(1, true)];
     const { completions, runUntil } = setUp(createPlacement(['e1'], wishes), { script });
@@ -197,7 +197,7 @@
   });
 
   it('waits for a place to go on with a begun answer, up to the deadline', async () => {
-    const wishes: PlaceWish[] = [];
+    const wishes: PlacementRequest[] = [];
     let placed = 0;
     const open = createPlacement(['e1'], wishes);
     const placement: Placement = {
@@ -219,7 +219,7 @@
   });
 
   it('goes on with a request that was cut before its first token though that is late by then', async () => {
-    const wishes: PlaceWish[] = [];
+    const wishes: PlacementRequest[] = [];
     const strict = createPlacement(['e1', 'e2'], wishes);
     const { completions, runUntil, advance, clock } = setUp(
       {
@@ -339,12 +339,12 @@
       createId: () => 'p',
       serversOf: () => vms,
       shardOf: () => 'catalogue',
-      lastFree: () => undefined,
-      word: createServerWord(clock, backends),
+      lastKnownFree: () => undefined,
+      availability: createServerAvailability(clock, backends),
     });
     const { signal } = new AbortController();
     const group = { name: 'g' };
-    const wish = { requestId: 'r1', groups: [group], avoid: [] } as unknown as PlaceWish;
+    const wish = { requestId: 'r1', groups: [group], avoid: [] } as unknown as PlacementRequest;
     for (let count = 0; count < 20; count++) {
       expect((await placement.place(wish, signal)).unwrap().server).to.equal('w2');
     }
