--- a/src/router/index.ts
+++ b/src/router/index.ts
@@ -1,4 +1,4 @@
-/** Running requests on backend servers: places, attempts, retries, fates. */
+/** Running requests on backend servers: placement, attempts, retries, request statuses. */
 export * from './backend.js';
 export * from './baselines/index.js';
 export * from './completion.js';
@@ -10,4 +10,4 @@
 export * from './retries.js';
 export * from './retry-budget.js';
 export * from './service-call.js';
-export * from './server-word.js';
+export * from './server-availability.js';
--- a/test/permits/roles.test.ts
+++ b/test/permits/roles.test.ts
@@ -59,7 +59,7 @@
   const calls: string[] = [];
   const from = createFakeEngine('reader', calls, finishesPrefill, exportSucceeds);
   const to = createFakeEngine('writer', calls);
-  const observer = { read: () => calls.push('read') };
+  const observer = { prefillDone: () => calls.push('read') };
   const result = await handOver({ from, to, request }, new AbortController().signal, observer);
   return { calls, result };
 }
