--- a/src/orders/engine-orders.ts
+++ b/src/orders/engine-orders.ts
@@ -1,6 +1,6 @@
 /**
  * Reconciliation loop that sends orders to one engine of a held shard. Each iteration reads the
- * journal and the engine's state, lets `resolveNextStep` chooseStep one step and carries it out, until
+ * engine's state and the journal, lets `resolveNextStep` choose one step and carries it out, until
  * nothing is left to do. A lost answer or a crashed engine is discovered by the next iteration.
  *
  * An order is sent only while the lease is valid. Its send timeout is half of the time between the
@@ -155,7 +155,7 @@
     return carryOut(observation);
   }
 
-  /** Ends the drain, unless an outstanding order may still reach the engine. */
+  /** Ends the drain; while an order is outstanding, only after `drainMs`, as it may still arrive. */
   function handleInvalidLease(): Progress {
     if (!isOutstanding() || drain.heldForMs() >= terms.drainMs) drain.end();
     return 'rest';
@@ -220,7 +220,7 @@
     return entry;
   }
 
-  /** Ends the drain and makes no attempt for a while. */
+  /** Ends the drain and takes no step for `delayMs`. */
   function pause(delayMs: number): void {
     drain.end();
     notBefore = clock.now() + delayMs;
--- a/src/orders/next-step.ts
+++ b/src/orders/next-step.ts
@@ -95,7 +95,7 @@
   return state.incarnation !== order.incarnation && state.lastOrderId !== order.id;
 }
 
-/** Also true if the engine acknowledged an order for the target, so that it is not sent repeatedly. */
+/** True also if the engine carried out an order for the target but differs: no order is repeated. */
 function isSatisfied(
   state: EngineState,
   order: JournalledOrder | null,
