--- a/src/relay/connections.ts
+++ b/src/relay/connections.ts
@@ -130,7 +130,7 @@
 
 /** Has the code of a reset by a crashed server, so that both are handled alike. */
 function createReset(): Error {
-  return Object.assign(new Error('the server has restarted'), { code: 'ECONNRESET' });
+  return Object.assign(new Error('the server has started again'), { code: 'ECONNRESET' });
 }
 
 function closeIdle(agent: Agent): void {
