--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -27,7 +27,7 @@
   /** A peer has introduced itself and is linked. */
   opened(state: GatewayState): void;
   received(node: string, message: PeerMessage): void;
-  /** The last link to a peer has isClosed. */
+  /** The last link to a peer has closed. */
   closed(node: string): void;
   /** A dial has failed; `isRefused` if the connection was refused (ECONNREFUSED). */
   failed(address: string, isRefused: boolean): void;
--- a/src/shards/ownership.ts
+++ b/src/shards/ownership.ts
@@ -187,7 +187,7 @@
       puts: [{ key, value }],
       deletes: [],
     });
-    // If the outcome is unknown, the next runRound reads the row: this node's lease id in it shows that
+    // If the outcome is unknown, the next round reads the row: this node's lease id in it shows that
     // the write was committed.
     if (outcome.kind !== 'committed') return;
     if (parts.leaseHolder()?.leaseId !== holder.leaseId) return;
